--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -31,9 +31,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The owner's side of the workers: reports in, commands out. What is proved of a task is in {@link
- * Proofs}, what is said to workers in {@link WorkerCommands}, where tasks go in {@link
- * FirstFitPlacer} and {@link Rounds}, and a partition's durable record in {@link PartitionWriter}.
+ * Handles the workers of the partitions that this controller owns: processes their reports and
+ * sends them orders. {@link TerminationEvidence} proves that tasks have ended, {@link
+ * WorkerCommands} composes and sends orders, {@link FirstFitPlacer} and {@link ConsolidationRound}
+ * choose machines for tasks, and {@link PartitionWriter} writes a partition's durable record.
  */
 public final class Workers {
   private static final Logger LOG = LoggerFactory.getLogger(Workers.class);
@@ -49,7 +50,7 @@
   private final Map<String, WorkerSession> sessions = new HashMap<>();
   private final Map<Partition, PartitionWriter> writers = new HashMap<>();
 
-  /** Machines the cloud has taken back: a late report must not bring one to life again. */
+  /** Machines that the cloud has taken back; a late report must not register one again. */
   private final Set<String> buried = new HashSet<>();
 
   private final ConsolidationRound rounds = new ConsolidationRound();
@@ -63,7 +64,7 @@
   private long nextAll;
   private long lastTick;
 
-  /** The sum of the stamps of all partitions that this controller owned at the last step. */
+  /** Sum of the claim stamps of all partitions that this controller owned at the last tick. */
   private long ownedStamps;
 
   public Workers(
@@ -104,11 +105,11 @@
             this::heard);
   }
 
-  /** A worker's report. */
+  /** Handles a worker's report. */
   public void checkin(long request, byte[] body) {
     WorkerCodec.Report r = WorkerCodec.decode(Json.parse(body));
     if (r == null) {
-      out.answer(request, 400, Json.bytes(Json.object().put("error", "no report")));
+      out.answer(request, 400, Json.bytes(Json.object().put("error", "malformed report: host, yard, stint or tick is missing or invalid")));
       return;
     }
     if (!store.loaded() || view.partitionsPerZone() == 0) {
@@ -116,7 +117,7 @@
       if (likely != null) {
         out.answer(request, 421, Json.bytes(WorkerCodec.home(likely)));
       } else {
-        out.answer(request, 503, Json.bytes(Json.object().put("error", "not read in yet")));
+        out.answer(request, 503, Json.bytes(Json.object().put("error", "state not loaded yet")));
       }
       return;
     }
@@ -132,7 +133,8 @@
     }
     WorkerSession a = session(r.machine(), claim);
     if (r.token() > a.token()) {
-      // Someone with a newer claim speaks to it; a 200 of ours would only hold it here.
+      // The worker has seen the token of a newer claim; a 200 response would only keep it reporting
+      // here.
       overtaken(part, a, r);
       out.answer(request, 421, Json.bytes(WorkerCodec.home(null)));
       return;
@@ -140,7 +142,7 @@
     if (!a.newer(r.session(), r.tick())
         || view.drains.get(r.machine()) == StateCache.Drain.GONE
         || buried.contains(r.machine())) {
-      out.answer(request, 503, Json.bytes(Json.object().put("error", "an old report")));
+      out.answer(request, 503, Json.bytes(Json.object().put("error", "outdated report or returned machine")));
       return;
     }
     a.heed(r, clock.now(), evidence.leaseMs());
@@ -153,12 +155,12 @@
       settle(a, m.value(), l);
     }
     if (!watermark.recent()) {
-      // A 200 would let the worker keep tasks of which this controller cannot know that they were
-      // cancelled; what is known to be cancelled is stopped directly all the same.
+      // A 200 response would renew the worker's lease, also for tasks whose cancellation this
+      // controller may not know of. Tasks known to be cancelled are still stopped directly.
       if (m != null) {
         commands.urgent(a, m.value(), l);
       }
-      out.answer(request, 503, Json.bytes(Json.object().put("error", "out of touch")));
+      out.answer(request, 503, Json.bytes(Json.object().put("error", "knowledge of cancellations is out of date")));
       return;
     }
     List<WorkerCodec.Order> orders =
@@ -177,7 +179,7 @@
     if (lastTick > 0 && now - lastTick > Constants.STALL_MS) {
       commands.stalled();
       reachability.stalled();
-      LOG.info("fell behind by {} ms", now - lastTick);
+      LOG.info("tick delayed: {} ms since the previous one", now - lastTick);
     }
     lastTick = now;
     reachability.tick();
@@ -209,7 +211,10 @@
     }
   }
 
-  /** Whether partitions came or went since the last step: new ones are looked at at once. */
+  /**
+   * Whether the owned partitions have changed since the last tick: machines of new ones are checked
+   * at once.
+   */
   private boolean ownershipChanged() {
     long sum = 0;
     for (Partition partition : membership.partitions()) {
@@ -239,8 +244,8 @@
       l.dirty(name);
       return;
     }
-    // Also while its record cannot be written: in an outage of the state service a cut may end, and
-    // the machine must not be taken for silent afterwards.
+    // Probe the worker even while its record cannot be written: a network partition may end during
+    // an outage of the state service, and the machine must not count as silent afterwards.
     commands.ask(a);
     if (evidence.lease(a) || all) {
       settle(a, m, l);
@@ -256,9 +261,9 @@
     } else if (a.sick) {
       return Machine.Condition.SICK;
     } else if (commands.silent(a)) {
-      // Where nobody else was heard lately that says nothing new; but what is silent stays so until
-      // it is
-      // heard, or the leader would count its silence from the start again and again.
+      // If no other worker was heard recently, this one's silence proves nothing and its recorded
+      // condition stays. A machine recorded as SILENT stays so until its worker is heard, or the
+      // leader would restart its count of the silence again and again.
       return a.deaf() || reachability.sure() ? Machine.Condition.SILENT : m.condition();
     } else if (a.noticeUntil > 0 || view.cordons.contains(m.name())) {
       return Machine.Condition.LEAVING;
@@ -266,7 +271,10 @@
     return a.lastHeard > 0 ? Machine.Condition.OK : m.condition();
   }
 
-  /** Has it written what is proved gone from the machine, and its condition. */
+  /**
+   * Marks the machine for the next write if tasks on it are proved to have ended or its condition
+   * has changed.
+   */
   private void settle(WorkerSession a, Machine m, PartitionWriter l) {
     a.condition = condition(a, m);
     if (a.condition != m.condition() || !evidence.ends(a, m).isEmpty()) {
@@ -278,12 +286,14 @@
     return rounds;
   }
 
-  /** Time from a job's acceptance to each first launch of its tasks here. */
+  /** Time in ms from a job's acceptance to the first launch of each of its tasks on a machine. */
   public Histogram launchMs() {
     return commands.launchMs();
   }
 
-  /** The design's rounds, a few steps at a time. */
+  /**
+   * Advances the consolidation round by a few search nodes and passes its placements to the placer.
+   */
   public void round() {
     if (!store.loaded()) {
       return;
@@ -314,7 +324,10 @@
     return found;
   }
 
-  /** Tasks granted to this controller's partitions that are on no machine. */
+  /**
+   * Tasks granted to this controller's partitions that are on no machine and in no write in
+   * progress.
+   */
   private Map<TaskId, Partition> pending() {
     Map<TaskId, Partition> found = new LinkedHashMap<>();
     for (Partition p : membership.partitions()) {
@@ -328,8 +341,9 @@
   }
 
   /**
-   * Seconds of work that a move would lose at most: since this owner launched the task, and endless
-   * where it did not. A replica has no work to lose, so its age never keeps it where it is.
+   * Upper bound on the seconds of work that moving the task would lose: the time since its launch,
+   * or infinity if the launch time is unknown. 0 for a service replica, which has no work to lose,
+   * so that its age never prevents a move.
    */
   private double ageS(String machine, TaskId t) {
     if (view.jobs.get(t.job()).value().spec().service()) {
@@ -350,7 +364,7 @@
         || clock.now() - a.since < Constants.UNREGISTERED_MS && m == null;
   }
 
-  /** What this controller knows of a machine's worker; null where it does not own the machine. */
+  /** The session of the machine's worker; null if this controller does not own the machine. */
   private WorkerSession owned(Machine m) {
     long claim = membership.owned(m.part());
     return claim == 0 ? null : session(m.name(), claim);
@@ -359,7 +373,7 @@
   private WorkerSession session(String machine, long claim) {
     WorkerSession a = sessions.get(machine);
     if (a == null || a.claim != claim) {
-      // Nothing known under another claim may count as proof under this one.
+      // State kept under another claim must not count as proof under this one.
       a = new WorkerSession(machine, claim, clock.now());
       sessions.put(machine, a);
       inherit(a);
@@ -368,8 +382,8 @@
   }
 
   /**
-   * Takes over what the partition's former owner knew of a worker, as far as that proves nothing:
-   * how to reach it, since when its tasks run, and what failed there.
+   * Copies the replicated state of the partition's former owner that is no proof about tasks: the
+   * worker's address and session, launch times, failures, and whether the machine is sick.
    */
   private void inherit(WorkerSession a) {
     StateCache.Entry<Machine> machine = view.machines.get(a.name);
@@ -396,7 +410,9 @@
     return l;
   }
 
-  /** What a writer sees of the rest. */
+  /**
+   * Gives the writer of a partition access to worker sessions and other writers, under its claim.
+   */
   private final class Ground implements PartitionWriter.Owner {
     private final long claim;
 
@@ -432,15 +448,14 @@
     return Partition.of(r.machine(), r.zone(), view.partitionsPerZone());
   }
 
-  /** Takes in a report, from wherever it came. */
+  /** Applies a report, whether the worker sent it by itself or as the answer to a call. */
   private void take(WorkerSession a, WorkerCodec.Report r, boolean checkin) {
     boolean moved = r.session() != a.session || !r.addr().equals(a.addr);
     if (r.session() > a.session) {
-      a.flights.clear(); // commands of an earlier session are refused
+      a.flights.clear(); // the worker refuses orders for an earlier session
       a.killed.clear();
-      // A new session has its full lease from its own start, even if none of its reports is
-      // answered:
-      // tasks launched in it directly live that long.
+      // A new session has its full lease from its start, even if none of its reports is answered:
+      // tasks launched directly in it live that long.
       a.lastAnswered = clock.now();
     }
     boolean trustedBefore = a.trusted();
@@ -453,7 +468,7 @@
     reachability.heard(r.zone());
     a.unanswered = false;
     if (a.trusted() && !trustedBefore) {
-      a.lastAnswered = clock.now(); // until now a former owner may have answered
+      a.lastAnswered = clock.now(); // a former owner may have renewed the lease until now
     }
     a.noticeUntil = r.noticeS() == null ? 0 : clock.now() + (long) (r.noticeS() * 1000);
     a.endFlights(checkin);
@@ -471,8 +486,9 @@
   }
 
   /**
-   * Puts a machine on record once its worker has shown this claim's token: a copy of an old report
-   * of a machine that was returned, even by a controller that has since crashed, cannot show it.
+   * Records a machine once its worker has reported this claim's token. A late copy of an old report
+   * cannot carry that token if its machine was returned, even by a controller that has crashed
+   * since.
    */
   private void register(WorkerSession a, WorkerCodec.Report r) {
     if (a.busy || !a.trusted()) {
@@ -501,7 +517,7 @@
         ok -> a.busy = false);
   }
 
-  /** A report that came as the answer to a call of ours. */
+  /** Handles a report that a worker sent as the answer to a call of this controller. */
   private void heard(WorkerSession a, byte[] body) {
     WorkerCodec.Report r = WorkerCodec.decode(Json.parse(body));
     if (r == null || !r.machine().equals(a.name) || sessions.get(a.name) != a) {
@@ -510,7 +526,7 @@
     if (r.token() > a.token()) {
       overtaken(partitionOf(r), a, r);
     } else if (a.newer(r.session(), r.tick()) && !a.leaseOver) {
-      a.unheeded = 0; // it answered us, so it hears us
+      a.unheeded = 0; // the worker answered, so messages reach it
       take(a, r, false);
       StateCache.Entry<Machine> e = view.machines.get(a.name);
       long claim = e == null ? 0 : membership.owned(e.value().part());
