--- a/src/main/java/org/baygw/control/workers/WorkerSession.java
+++ b/src/main/java/org/baygw/control/workers/WorkerSession.java
@@ -7,14 +7,14 @@
 import org.baygw.control.model.Machine;
 import org.baygw.control.model.TaskId;
 
-/** What a partition's owner knows of one worker, in memory only and for one claim only. */
+/** State that a partition's owner keeps of one worker, in memory only and for one claim only. */
 final class WorkerSession {
-  /** A launch that may still take effect. */
+  /** A launch order that the worker may still carry out. */
   static final class Flight {
-    /** Highest token of a direct launch without an answer; 0: none. */
+    /** Highest token of a direct launch without an answer; 0 if there is none. */
     long directToken;
 
-    /** Tick of the report whose response carried the launch; 0: none. */
+    /** Tick of the report whose response carried the launch; 0 if there is none. */
     long replyTick;
 
     boolean over() {
@@ -29,10 +29,13 @@
   String addr = "";
   long session;
 
-  /** The session that a former owner knew of, until this owner has asked; 0: none. */
+  /**
+   * The worker's session as a former owner knew it, until this owner has announced its token; 0 if
+   * there is none.
+   */
   long expectedSession;
 
-  /** This owner is showing the worker its token for the first time. */
+  /** A call that announces this claim's token to the worker is in progress. */
   boolean introducing;
 
   long tick;
@@ -43,37 +46,42 @@
   Map<TaskId, WorkerCodec.Seen> seen = new LinkedHashMap<>();
   final Map<TaskId, Flight> flights = new HashMap<>();
 
-  /** When this owner launched what is on the machine; tasks it did not launch have no known age. */
+  /**
+   * Launch times of tasks on the machine, in ms of this controller's clock; tasks without one have
+   * no known age.
+   */
   final Map<TaskId, Long> launched = new HashMap<>();
 
   final Map<TaskId, Long> killed = new HashMap<>();
 
-  /** Tasks that failed here since one last completed, by job. */
+  /** Number of tasks that failed here since one last completed, by job. */
   final Map<String, Integer> failures = new HashMap<>();
 
   boolean sick;
 
   /**
-   * What its partition's record is to say of the machine; null as long as this owner has not
-   * looked.
+   * Condition of the machine to be written to its partition's record; null until this owner has
+   * checked the machine.
    */
   Machine.Condition condition;
 
-  /** A change of this machine's own record is under way. */
+  /** A write of the machine's own record is in progress. */
   boolean busy;
 
   boolean directBusy;
 
-  /** A question to the worker is under way, or was not answered since it was last heard. */
+  /** A probe of the worker is in progress. */
   boolean asking;
 
+  /** A probe has failed since the worker was last heard. */
   boolean unanswered;
   long nextAsk;
   boolean leaseOver;
 
-  /** Highest token that an answer of ours carried, and reports in a row that did not show it. */
+  /** Highest token sent in a response to a report. */
   long answeredToken;
 
+  /** Recent signs that responses do not reach the worker. */
   int unheeded;
   long lastUnheeded;
 
@@ -83,12 +91,17 @@
     this.since = now;
   }
 
-  /** Grows with the claim and, within a claim, with every raise. */
+  /**
+   * The fencing token for orders: grows with the claim and, within a claim, with every increment.
+   */
   long token() {
     return claim << Constants.TOKEN_BITS | raises;
   }
 
-  /** Whether the worker takes commands from this claim only, so that nobody else's can count. */
+  /**
+   * Whether the worker has reported a token of this claim, so that it refuses the orders of older
+   * claims.
+   */
   boolean trusted() {
     return seenToken >= claim << Constants.TOKEN_BITS;
   }
@@ -98,10 +111,10 @@
   }
 
   /**
-   * Counts the signs that our answers do not reach a worker whose reports reach us: it does not
-   * show the token that they carried, it reports again after it did not answer when asked, or its
-   * sessions end though they were answered in time. Now and then one is lost, so they count
-   * together only within a few leases, and a higher token shown ends the count.
+   * Counts signs that responses do not reach a worker whose reports arrive: it does not report the
+   * token that they carried, it reports again after it did not answer a probe, or its session ends
+   * although it was answered within a lease. Single responses get lost, so the signs add up only
+   * within a few leases, and a report with a higher token resets the count.
    */
   void heed(WorkerCodec.Report r, long now, long leaseMs) {
     boolean ended = session > 0 && r.session() > session && now - lastAnswered < leaseMs;
@@ -123,8 +136,8 @@
   }
 
   /**
-   * A late launch must never find its worker after the task went elsewhere: a flight ends only when
-   * the worker can no longer carry it out.
+   * Removes the launches that the worker can no longer carry out. Until then a launch stays
+   * pending, since it must never take effect late, after the task was placed on another machine.
    */
   void endFlights(boolean checkin) {
     flights
@@ -135,7 +148,7 @@
                 f.directToken = 0; // the worker now refuses that token
               }
               if (checkin && f.replyTick != 0 && tick > f.replyTick) {
-                f.replyTick = 0; // it reports again only after it took or dropped that response
+                f.replyTick = 0; // sent after the worker took or dropped the response
               }
               return f.over();
             });
