--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -29,29 +29,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The only writer of a partition's record, under one claim. All that has come up since the last
- * write goes into the next one: tasks proved gone, tasks placed, conditions of machines. A task
- * stands in the record before its launch is sent and until it is proved gone.
+ * The only writer of a partition's record under one claim. Each write combines all changes since
+ * the previous one: tasks proved to have ended, tasks placed, and conditions of machines. A task is
+ * in the record before its launch is sent and until it is proved to have left its machine.
  */
 final class PartitionWriter {
-  /** What the writer asks of the rest. */
+  /** Access to worker sessions and to the writers of other partitions. */
   interface Owner {
-    /** What is known of the worker of one of the partition's machines, or null. */
+    /** The session of the worker on one of the partition's machines, or null. */
     WorkerSession session(String machine);
 
-    /** The writer of another part of this controller, or null. */
+    /** The writer of a partition, or null if this controller does not own it. */
     PartitionWriter writer(Partition part);
 
-    /** Tasks were placed, durably. */
+    /** Called once tasks have been durably placed on the machines. */
     void placed(Set<String> machines);
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(PartitionWriter.class);
 
-  /** Changes that a move needs beside its own page: progress, and another partition's page. */
+  /**
+   * Operations that a move needs beside its own page: the job's progress and another partition's
+   * page.
+   */
   private static final int MOVE_WRITES = 2;
 
-  /** Conditions of a placing beside pages and jobs: the list of leaving machines. */
+  /** Conditions of a placement beside those on pages and jobs: the list of leaving machines. */
   private static final int OTHER_CONDITIONS = 2;
 
   final Partition part;
@@ -66,7 +69,7 @@
   private final Owner owner;
   private final Set<String> dirty = new LinkedHashSet<>();
 
-  /** Tasks that a write under way would put on machines, or take off. */
+  /** Tasks that a write in progress adds to machines or removes from them. */
   private final Set<TaskId> moving = new HashSet<>();
 
   private boolean queued;
@@ -76,8 +79,9 @@
   private long seenChanges = -1;
 
   /**
-   * One write in the making: pages of the record as they are to be, and what goes with them. Only
-   * the pages that it asks for are copied, so that a write costs what it changes.
+   * A write being prepared: changed pages of the record, and the other keys that are written with
+   * them. Pages are copied only when needed, so that the cost of a write depends on what it
+   * changes.
    */
   private final class Draft implements FirstFitPlacer.Space {
     final Txn txn = new Txn().when(Keys.claim(part.toString()), claim);
@@ -97,7 +101,10 @@
       return PartitionRecord.pageOf(machine, pages);
     }
 
-    /** The page as it is to be, without what its jobs' progress has taken over. */
+    /**
+     * The editable copy of a page, without the ended tasks that their jobs' progress includes by
+     * now.
+     */
     PartitionRecord copy(int page) {
       PartitionRecord copy = copies.get(page);
       if (copy == null) {
@@ -108,20 +115,20 @@
       return copy;
     }
 
-    /** Bytes of a page, with what this write adds to it. */
+    /** Size of a page in bytes, with what this write adds to it. */
     int size(int page) {
       Integer known = sizes.get(page);
       if (known == null) {
         known = view.pages().bytes(part, page);
         if (known > limit() * Constants.RECORD_FULL) {
-          known = copy(page).size(); // some of it may be forgotten by now
+          known = copy(page).size(); // the copy leaves out ended tasks that progress includes
         }
         sizes.put(page, known);
       }
       return known;
     }
 
-    /** The page with the fewest bytes, of those that are to be written if there are any. */
+    /** The page with the fewest bytes, among the changed ones if there are any. */
     int emptiest() {
       int best = -1;
       for (int page = 0; page < pages; page++) {
@@ -141,7 +148,9 @@
       return writes() > 0;
     }
 
-    /** Whether the page goes into this write, or still can: a write has its limits too. */
+    /**
+     * Whether the page is in this write or fits within its limits on pages, bytes and operations.
+     */
     boolean touchable(int page) {
       if (touched.contains(page)) {
         return true;
@@ -159,7 +168,7 @@
       touched.add(page);
     }
 
-    /** From this write on the record has so many pages; the first page says so. */
+    /** Sets the number of pages of the record, which is stored on the first page. */
     void setPages(int count) {
       copies.put(0, copy(0).withPages(count));
     }
@@ -192,7 +201,7 @@
           .put(t.index(), value);
     }
 
-    /** Puts the pages that change into the write. */
+    /** Adds the changed pages to the transaction. */
     Txn seal() {
       lists.forEach(
           (machine, tasks) -> {
@@ -205,7 +214,7 @@
           });
       done.forEach((page, m) -> m.forEach((job, l) -> EndedTasks.add(copy(page).done(), job, l)));
       back.forEach((page, m) -> m.forEach((job, l) -> EndedTasks.add(copy(page).back(), job, l)));
-      // The first page tells how many there are, and so where each machine stands.
+      // The first page holds the number of pages, which determines the page of each machine.
       txn.when(Keys.record(part, 0), view.stamp(Keys.record(part, 0)));
       for (int page : touched) {
         String key = Keys.record(part, page);
@@ -215,7 +224,7 @@
     }
   }
 
-  /** Pages that go into one write at most: the rest of its changes is for jobs and moves. */
+  /** Maximum number of pages in one write: its other operations are for jobs and moves. */
   private int mostPagesWritten() {
     int most = (int) Math.ceil(settings.state().txnOps() * Constants.RECORD_WRITE_SHARE);
     return Math.min(most, view.pages().count(part));
@@ -244,17 +253,20 @@
     this.owner = owner;
   }
 
-  /** Something may have ended on the machine, or its condition changed. */
+  /** Marks a machine on which tasks may have ended or whose condition has changed. */
   void dirty(String machine) {
     dirty.add(machine);
   }
 
-  /** Whether a write under way has to do with the task, so that nothing may be told about it. */
+  /**
+   * Whether a write in progress involves the task: orders to launch or forget it wait for the
+   * outcome.
+   */
   boolean moving(TaskId t) {
     return moving.contains(t);
   }
 
-  /** Begins a write if there is anything to write. */
+  /** Starts a write if there are changes and no write is in progress. */
   void pump() {
     long now = clock.now();
     if (queued || writing) {
@@ -267,7 +279,7 @@
     long pace =
         Constants.RECORD_PACE_MS + Constants.RECORD_PACE_MS_A_PAGE * (mostPagesWritten() - 1);
     if (store.scarce() && now < lastWrite + pace) {
-      return; // what ends meanwhile shares the write
+      return; // changes until then share the write
     }
     queued = true;
     Draft[] made = new Draft[1];
@@ -302,7 +314,7 @@
       d.after.forEach(Runnable::run);
       owner.placed(d.placedOn);
     } else {
-      dirty.addAll(d.handled); // to be looked at again
+      dirty.addAll(d.handled); // to be checked again
     }
   }
 
@@ -339,11 +351,11 @@
   }
 
   /**
-   * Splits pages of a record of which one is crowded, in their order, as many as one write takes
-   * until there are twice as many; null where none is. All pages that change are in one write under
-   * the claim, with the first page's number of pages: whoever reads the record finds each machine
-   * where that number says, before, after and whenever this controller ends. Nothing else goes with
-   * it. There is no bound on the number of pages.
+   * Prepares a write that splits pages in order, as many as it can hold and until their number has
+   * doubled; null if no split is needed. All changed pages are written together under the claim,
+   * with the number of pages on the first one, so that readers find each machine on the page that
+   * the number determines: before the write, after it, and if this controller fails at any time.
+   * The write contains nothing else. The number of pages has no upper bound.
    */
   private Draft split() {
     if (!crowded()) {
@@ -370,13 +382,13 @@
     }
     d.setPages(after);
     d.seal();
-    LOG.info("{} gets {} pages", part, after);
+    LOG.info("{}: splitting its record into {} pages", part, after);
     return d;
   }
 
   /**
-   * Whether pages are to be split: one is crowded, and the others are not nearly empty. Pages are
-   * split in their order, so a single one would have all of them split before its turn comes.
+   * Whether to split pages: one is large, and the others are not nearly empty. Pages are split in
+   * order, so a single large page alone would have all pages before it split first.
    */
   private boolean crowded() {
     int pages = view.pages().count(part);
@@ -391,7 +403,7 @@
         && sum > pages * limit() * Constants.RECORD_SPLIT_LOAD;
   }
 
-  /** Moves the machines that stand on a new page, of so many, over to it. */
+  /** Moves the machines that belong on a new page to it, given the new number of pages. */
   private static void moveTo(PartitionRecord from, PartitionRecord to, int page, int pages) {
     moveTo(from.on(), to.on(), page, pages);
     moveTo(from.conditions(), to.conditions(), page, pages);
@@ -410,7 +422,7 @@
             });
   }
 
-  /** Takes what is proved gone off a machine, and notes whether it is fit for more. */
+  /** Removes tasks that are proved to have left a machine, and updates the machine's condition. */
   private void settle(Draft d, String name) {
     StateCache.Entry<Machine> e = view.machines.get(name);
     if (e == null) {
@@ -439,7 +451,7 @@
     if (gone) {
       condition = null;
       if ((d.lists.containsKey(name) ? d.lists.get(name) : m.tasks()).isEmpty()) {
-        // One change is left for the page that the machine's condition comes off.
+        // One operation stays reserved for the page from which the machine's condition is removed.
         if (d.txn.writes() < Constants.DELETES_PER_WRITE
             && d.writes() + 1 < settings.state().txnOps()) {
           d.txn.delete(Keys.machine(name));
@@ -455,12 +467,15 @@
         conditions.remove(name);
       } else {
         conditions.put(name, condition);
-        d.after.add(() -> LOG.info("{} is {}", name, wanted));
+        d.after.add(() -> LOG.info("machine {}: condition is now {}", name, wanted));
       }
     }
   }
 
-  /** A round's move: off this machine and onto the other in one write, under the next attempt. */
+  /**
+   * Adds the task to the machine that a round chose, under the next attempt, in the write that
+   * removes it from its present one. Returns false if the move cannot be made now.
+   */
   private boolean move(Draft d, WorkerSession from, TaskId t) {
     String name = rounds.target(t, from.name);
     StateCache.Entry<Machine> e = name == null ? null : view.machines.get(name);
@@ -515,7 +530,9 @@
     return true;
   }
 
-  /** A job whose last task has ended is done in the same write, and needs no progress any more. */
+  /**
+   * Marks jobs whose last tasks have ended as done in the same write, and deletes their progress.
+   */
   private void finish(Draft d) {
     Map<String, Integer> ended = new LinkedHashMap<>();
     d.done.values().forEach(m -> m.forEach((job, l) -> ended.merge(job, l.size(), Integer::sum)));
@@ -528,10 +545,10 @@
       }
       int writes = 1 + j.value().chunks();
       if (d.writes() + writes > settings.state().txnOps()) {
-        continue; // the leader finishes it
+        continue; // the leader marks the job as done
       }
       LOG.debug(
-          "{} ({}) is done after {} ms, {} tasks of {} s estimated",
+          "job {} ({}) done after {} ms: {} tasks, estimated at {} s each",
           job,
           j.value().spec().jobClass(),
           clock.wall() - j.value().acceptedMs(),
@@ -560,7 +577,7 @@
     if (plan.onto().isEmpty()) {
       return;
     }
-    // Nothing may come to a machine once its return has been decided.
+    // No task may be placed on a machine once its return has been decided.
     d.txn.when(Keys.drain(part), view.stamp(Keys.drain(part)));
     plan.onto()
         .forEach(
@@ -570,12 +587,11 @@
               d.placedOn.add(name);
               for (TaskId t : tasks.keySet()) {
                 // The job must not have been cancelled. The grant needs no condition: while the job
-                // is
-                // open only this record takes one back.
+                // is open, only this record can return it.
                 d.txn.when(Keys.job(t.job()), view.stamp(Keys.job(t.job())));
                 Job j = view.jobs.get(t.job()).value();
                 LOG.debug(
-                    "place {} ({}) on {} after {} ms, image there: {}",
+                    "placing task {} ({}) on {} after {} ms, image cached: {}",
                     t,
                     j.spec().jobClass(),
                     name,
