--- a/src/main/java/org/baygw/control/workers/WorkerCommands.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCommands.java
@@ -18,10 +18,11 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * What workers are told and asked: launches, kills, forgets, in answers to reports and directly.
+ * Sends orders to workers (launch, kill, forget), in responses to reports and in direct calls, and
+ * probes workers.
  */
 final class WorkerCommands {
-  /** Takes in a report that came as the answer to a call of ours. */
+  /** Handles a report that came as the answer to a call of this controller. */
   interface Heard {
     void heard(WorkerSession a, byte[] body);
   }
@@ -38,7 +39,7 @@
   private final Heard heard;
   private long stalledAt;
 
-  /** Introductions that may still be made in this step. */
+  /** Token announcements that may still be sent in this tick. */
   private int introductions;
 
   private final Histogram launchMs =
@@ -76,12 +77,14 @@
     return a.deaf() || a.unanswered && clock.now() - heardAt(a) > reports;
   }
 
-  /** A step of the clock begins. */
+  /** Called at the start of a tick. */
   void step() {
     introductions = Constants.INTRODUCTIONS_A_STEP;
   }
 
-  /** This controller fell behind: what workers said meanwhile may still wait to be read. */
+  /**
+   * Called after this controller stalled: reports that came meanwhile may not have been read yet.
+   */
   void stalled() {
     stalledAt = clock.now();
   }
@@ -91,9 +94,8 @@
   }
 
   /**
-   * Asks a worker that has gone quiet, and one that has not seen this claim's token: after a
-   * takeover it may wait seconds for its former owner, and until it has seen the token nothing here
-   * is proved.
+   * Probes a worker that is silent or has not seen this claim's token: after a takeover it may wait
+   * seconds for its former owner, and until it has seen the token none of its reports is proof.
    */
   void ask(WorkerSession a) {
     long now = clock.now();
@@ -130,9 +132,10 @@
   }
 
   /**
-   * Shows a worker the token of this owner's claim at once, in the session that its former owner
-   * knew: from then on it heeds no other, and what it reports is proof. False where that is to
-   * wait, or the worker has been heard already.
+   * Announces this claim's token to a worker at once, in the session that its former owner knew:
+   * from then on the worker accepts no older token, and its reports are proof. Returns true if the
+   * announcement was sent or has to wait for a later tick; false if the worker has been heard
+   * already or cannot be called now.
    */
   private boolean introduce(WorkerSession a) {
     if (a.lastHeard > 0 || a.directBusy || a.addr.isEmpty()) {
@@ -150,7 +153,7 @@
     return true;
   }
 
-  /** The commands that go with the answer to a report. */
+  /** The orders that go with the response to a report. */
   List<WorkerCodec.Order> reply(WorkerSession a, Machine m, PartitionWriter l, long tick) {
     List<WorkerCodec.Order> orders = orders(a, m, l, true);
     for (WorkerCodec.Order o : orders) {
@@ -162,7 +165,7 @@
     return orders;
   }
 
-  /** Sends at once what should not wait for the next report. */
+  /** Sends orders that should not wait for the next report. */
   void urgent(WorkerSession a, Machine m, PartitionWriter l) {
     if (a.directBusy || a.addr.isEmpty() || !a.trusted() || a.leaseOver || !placer.heardLately(a)) {
       return;
@@ -173,7 +176,7 @@
     }
   }
 
-  /** What the worker is to do now, by what it last reported. */
+  /** The orders for a worker according to its last report and the record. */
   private List<WorkerCodec.Order> orders(
       WorkerSession a, Machine m, PartitionWriter l, boolean reply) {
     List<WorkerCodec.Order> orders = new ArrayList<>();
@@ -183,9 +186,11 @@
       Integer recorded = m.tasks().get(t.getKey());
       boolean ours = recorded != null && recorded == s.attempt();
       if (s.state() == WorkerCodec.State.ENDED) {
-        // Only what is durable is forgotten: until then the report is the only record of the end.
+        // A worker may forget an ended task only once its end is durable: until then the report is
+        // the only record of it.
         if (reply && !ours && !l.moving(t.getKey())) {
-          // What did not complete may come here again, and would be refused while this is known.
+          // A task that did not complete may be placed here again, and the worker would refuse it
+          // until it has forgotten this attempt.
           boolean soon = s.cause() != WorkerCodec.Cause.DONE;
           (soon ? orders : completed)
               .add(new WorkerCodec.Order(WorkerCodec.Verb.FORGET, t.getKey(), s.attempt(), 0));
@@ -204,8 +209,9 @@
     if (completed.size() >= Constants.FORGET_TOGETHER) {
       orders.addAll(completed);
     }
-    // Out of touch this owner may not know that a job was cancelled, and a worker that comes with a
-    // new session, its tasks gone with its lease, must not get them by the record once more.
+    // With outdated knowledge of cancellations this owner may not know that a job was cancelled,
+    // and a worker with a new session, whose tasks ended with its lease, must not be given them
+    // again by the record.
     if (!watermark.recent()
         || !a.trusted()
         || a.leaseOver
@@ -219,7 +225,7 @@
       }
       WorkerSession.Flight f = a.flights.get(t.getKey());
       boolean open = f == null || reply && f.replyTick == 0 && !a.directBusy;
-      // What a write under way takes off the machine must not be started there again.
+      // A task that a write in progress removes from the machine must not be launched there again.
       if (open && !l.moving(t.getKey()) && evidence.wanted(t.getKey(), t.getValue(), m)) {
         orders.add(new WorkerCodec.Order(WorkerCodec.Verb.LAUNCH, t.getKey(), t.getValue(), 0));
       }
@@ -227,7 +233,7 @@
     return orders;
   }
 
-  /** Seconds a task gets to save when it is to stop; null if it is to run on. */
+  /** Seconds that a task gets to save if it is to be stopped; null if it should keep running. */
   private Double grace(
       WorkerSession a, TaskId t, WorkerCodec.Seen s, Machine m, boolean ours, PartitionWriter l) {
     StateCache.Entry<Job> j = view.jobs.get(t.job());
@@ -243,19 +249,19 @@
       return spec.checkpoints() ? spec.graceS() : 0;
     }
     if (view.cordons.contains(m.name()) && spec.service()) {
-      return 0.0; // an operator's drain: replicas go elsewhere at once, other tasks may finish
+      return 0.0; // drained by an operator: replicas move at once, other tasks may finish
     }
     boolean leaving = a.noticeUntil > 0 || view.cordons.contains(m.name());
     if (leaving && spec.checkpoints() && s.state() != WorkerCodec.State.SAVING) {
-      return spec.graceS(); // the notice: save while there is time
+      return spec.graceS(); // save before the machine is taken
     }
     if (a.noticeUntil > 0 && !spec.checkpoints() && !spec.service() && tooLate(a, t, spec)) {
-      return 0.0; // it would be lost with the machine: better begun anew elsewhere now than then
+      return 0.0; // the task would be lost later with the machine: restart it elsewhere now
     }
     return null;
   }
 
-  /** Whether a task cannot be expected to end before its machine is taken. */
+  /** Whether a task is not expected to end before its machine is taken. */
   private boolean tooLate(WorkerSession a, TaskId t, JobSpec spec) {
     Long since = a.launched.get(t);
     double left = (a.noticeUntil - clock.now()) / 1000.0;
@@ -298,14 +304,14 @@
         }
       }
     } else {
-      // It may be carried out minutes later. A higher token, once seen there, rules that out.
+      // The worker may carry out the call minutes later, unless it has seen a higher token by then.
       a.raises++;
     }
     if (status == 200 || status == 409) {
       heard.heard(a, body);
     }
     if (introduced && status == 409 && !a.trusted() && a.session > 0 && !a.directBusy) {
-      direct(a, a.session, List.of()); // the session was another one than the former owner knew
+      direct(a, a.session, List.of()); // the former owner knew another session
     }
   }
 
