--- a/src/main/java/org/baygw/control/workers/TerminationEvidence.java
+++ b/src/main/java/org/baygw/control/workers/TerminationEvidence.java
@@ -10,7 +10,10 @@
 import org.baygw.control.model.TaskId;
 import org.baygw.control.store.StateCache;
 
-/** What proves that a task is no longer on its machine. */
+/**
+ * Decides whether a task is proved to have left its machine: by a report, an expired lease or the
+ * machine's return to the cloud.
+ */
 final class TerminationEvidence {
   /** How a task left its machine. */
   enum End {
@@ -32,13 +35,17 @@
     return leaseMs;
   }
 
-  /** Notes it when a worker's session must be over, with all tasks it had; true if it just did. */
+  /**
+   * Marks a worker's lease as expired once its session must have ended with all its tasks; returns
+   * true if it was marked now.
+   */
   boolean lease(WorkerSession a) {
     if (a.trusted()
         && clock.now() > a.lastAnswered + leaseMs + Constants.LEASE_MARGIN_MS
         && !a.leaseOver) {
-      // Since it saw our token only our answers count, and the last of them is too old: the worker
-      // has ended its session and all tasks with it. Direct launches need the old session.
+      // The worker has seen this claim's token, so that only this controller's responses renew its
+      // lease, and the last of them is too old: the worker has ended its session and all tasks with
+      // it. Direct launches need the old session.
       a.leaseOver = true;
       a.flights.clear();
       a.seen = new LinkedHashMap<>();
@@ -49,7 +56,7 @@
     return false;
   }
 
-  /** The tasks of the machine's record that are proved gone from it. */
+  /** The recorded tasks of a machine that are proved to have left it. */
   Map<TaskId, End> ends(WorkerSession a, Machine m) {
     Map<TaskId, End> ends = null;
     for (Map.Entry<TaskId, Integer> t : m.tasks().entrySet()) {
@@ -62,10 +69,10 @@
     return ends == null ? Map.of() : ends;
   }
 
-  /** How one of them is proved gone; null where it is not. */
+  /** How a recorded task left the machine; null if that is not proved. */
   End end(WorkerSession a, Machine m, TaskId t, int attempt) {
     if (view.drains.get(m.name()) == StateCache.Drain.GONE) {
-      return End.BACK; // the cloud has taken the machine back: nothing on it is left
+      return End.BACK; // the cloud has taken the machine back with all its tasks
     }
     WorkerCodec.Seen s = a.seen.get(t);
     if (s != null && s.attempt() == attempt) {
@@ -78,16 +85,15 @@
         a.trusted()
             && (s == null || s.state() == WorkerCodec.State.ENDED)
             && !a.flights.containsKey(t);
-    // A machine that hangs keeps its tasks whatever its lease says: where the job was cancelled the
-    // task
-    // stays on record until the machine is heard of or returned, or the next owner would not know
-    // of it.
+    // A hung machine keeps its tasks after its lease has expired. A task of a cancelled job
+    // therefore stays on record until the machine is heard or returned, or the next owner would not
+    // know of it.
     return absent && (a.leaseOver ? !view.cancelled(t.job()) : !wanted(t, attempt, m))
         ? End.BACK
         : null;
   }
 
-  /** Whether the task is to run on under this attempt. */
+  /** Whether the task should keep running on the machine under this attempt. */
   boolean wanted(TaskId t, int attempt, Machine m) {
     if (!view.runs(t.job())) {
       return false;
