--- a/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
+++ b/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
@@ -22,18 +22,24 @@
 import org.baygw.control.placement.MachineCapacity;
 import org.baygw.control.store.StateCache;
 
-/** First fit for the tasks granted to a partition. */
+/** Places the tasks granted to a partition on its machines, in order of priority. */
 final class FirstFitPlacer {
-  /** What a partition's record can still take. */
+  /** Space left in a partition's record for the next write. */
   interface Space {
-    /** Whether a task on the machine can go into the next write. */
+    /** Whether the next write can place a task on the machine. */
     boolean open(String machine);
 
-    /** A task that takes so many bytes goes there; true if fewer machines may be open now. */
+    /**
+     * Reserves the bytes of a task on the machine; returns true if fewer machines may have space
+     * now.
+     */
     boolean take(String machine, int bytes);
   }
 
-  /** What to do with the granted tasks of a partition. */
+  /**
+   * The granted tasks of a partition to be placed, by machine, and those to be returned to the
+   * queue, each with its attempt.
+   */
   record Plan(Map<String, Map<TaskId, Integer>> onto, Map<TaskId, Integer> back) {}
 
   private final Clock clock;
@@ -45,7 +51,7 @@
   private final Map<TaskId, Long> unplacedSince = new HashMap<>();
   private final TaskFailures failures;
 
-  /** Where a round wants pending tasks. */
+  /** Machines that a consolidation round chose for pending tasks. */
   private final Map<TaskId, String> chosen = new HashMap<>();
 
   FirstFitPlacer(
@@ -64,7 +70,7 @@
     this.failures = new TaskFailures(clock, view, replication);
   }
 
-  /** What is learnt from tasks that fail. */
+  /** The recorded failures of tasks, which placement takes into account. */
   TaskFailures failures() {
     return failures;
   }
@@ -75,8 +81,8 @@
   }
 
   /**
-   * Finds machines for a partition's granted tasks, up to so many jobs and what its record can
-   * take.
+   * Finds machines for a partition's granted tasks, for a limited number of jobs and within the
+   * space of its record.
    */
   Plan plan(Partition part, long claim, Set<TaskId> leaving, int mostJobs, Space space) {
     long now = clock.now();
@@ -115,7 +121,7 @@
         r = again ? last : wanted(free, t, s);
         r = r == null ? firstFit(free, s) : r;
         if (r == null) {
-          fullFor = t.job(); // nor would its other tasks find any
+          fullFor = t.job(); // its other tasks would not fit either
         }
       }
       if (r != null) {
@@ -132,7 +138,7 @@
         }
       } else if (over || now - since > Constants.UNGRANT_MS) {
         back.put(t, l.attempt());
-        unplacedSince.remove(t); // if it is granted here again it waits anew
+        unplacedSince.remove(t); // if granted here again, the task waits anew
       }
     }
     return new Plan(onto, back);
@@ -190,7 +196,7 @@
         if (s.getValue().state() != WorkerCodec.State.ENDED && !m.tasks().containsKey(s.getKey())) {
           StateCache.Entry<Job> j = view.jobs.get(s.getKey().job());
           if (j != null) {
-            r.take(j.value().spec()); // not in the record, but there until it is killed
+            r.take(j.value().spec()); // not in the record, but running until killed
           }
         }
       }
@@ -198,7 +204,9 @@
     return r;
   }
 
-  /** The machine that a round wants the task on, if it still fits there. */
+  /**
+   * The machine that a round chose for the task; null if there is none or the task no longer fits.
+   */
   private MachineCapacity wanted(List<MachineCapacity> free, TaskId t, JobSpec s) {
     String name = chosen.remove(t);
     if (name != null) {
@@ -211,7 +219,7 @@
     return null;
   }
 
-  /** The best suited machine. */
+  /** The machine that suits best; null if none fits or the job waits for its retry. */
   private MachineCapacity firstFit(List<MachineCapacity> free, JobSpec s) {
     if (failures.waits(s.id())) {
       return null;
