--- a/src/main/java/org/baygw/control/workers/CancellationDeadline.java
+++ b/src/main/java/org/baygw/control/workers/CancellationDeadline.java
@@ -23,12 +23,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The last step of a cancellation. A machine that hangs keeps its tasks whatever its lease says,
- * and while the state service is out nobody can make it durable that the machine is given up. So
- * the cloud is asked to take a machine back on which a cancelled task is not proved gone in time:
- * by the owner of its partition first, by other controllers later, since a partition may have no
- * owner that lives. The time counts from the time of day that the cancellation's record holds, so
- * that a controller that was restarted, or has taken over, does not count from its own start.
+ * Returns machines to the cloud on which a cancelled task is not proved to have ended in time. This
+ * is the last resort of a cancellation: a hung machine keeps its tasks after its lease has expired,
+ * and during an outage of the state service nobody can durably record that the machine is given up.
+ * The owner of the machine's partition returns it first, other controllers later, since a partition
+ * may have no live owner. Time counts from the wall-clock time in the cancellation's record, so
+ * that a controller that was restarted or took over does not count from its own start.
  */
 final class CancellationDeadline {
   private static final Logger LOG = LoggerFactory.getLogger(CancellationDeadline.class);
@@ -40,13 +40,16 @@
   private final Cloud cloud;
   private final CancellationWatermark watermark;
 
-  /** This controller's knowledge of a machine's worker; null where it does not own the machine. */
+  /** Gives the session of a machine's worker; null if this controller does not own the machine. */
   private final Function<Machine, WorkerSession> owned;
 
   private final long cancelMs;
   private final long clockErrorMs;
 
-  /** Machines with cancelled tasks that are not proved gone, and since when that is known here. */
+  /**
+   * Machines with cancelled tasks that are not proved to have ended, and since when this controller
+   * knows of them.
+   */
   private final Map<String, Long> pendingSince = new HashMap<>();
 
   /** Machines that the cloud has taken back, as long as they are on record. */
@@ -56,7 +59,8 @@
   private long nextLook;
 
   /**
-   * Since when the copy of the state service has been current at every look; 0 before the first.
+   * Time since which this controller's copy of the state has been current at every check; 0 before
+   * the first.
    */
   private long currentSince;
 
@@ -77,7 +81,8 @@
     this.watermark = watermark;
     this.owned = owned;
     this.cancelMs = (long) (settings.workers().cancelS() * 1000);
-    // The writer's time of day may be as far off as this controller's, in the other direction.
+    // The wall clock of the cancellation's writer may be off as far as this controller's, in the
+    // other direction.
     this.clockErrorMs = (long) (2 * settings.timeBoundMs());
   }
 
@@ -90,15 +95,16 @@
       currentSince = clock.now();
     }
     List<String> due = look();
-    // Another owner may have proved the tasks gone and put others there: then it is not ours to
-    // end.
+    // If this controller may have been replaced, the new owner may have proved that the tasks ended
+    // and placed others on the machine, which must keep running.
     if (!due.isEmpty() && !returning && !watermark.mayBeReplaced()) {
       giveBack(due.subList(0, Math.min(due.size(), Constants.MAX_RETURN)));
     }
   }
 
   /**
-   * Finds the machines on which cancelled tasks are not proved gone; returns those that are due.
+   * Finds the machines on which cancelled tasks are not proved to have ended; returns those due for
+   * return.
    */
   private List<String> look() {
     returned.retainAll(view.machines.keySet());
@@ -124,7 +130,7 @@
     return List.copyOf(due);
   }
 
-  /** Those of the machines on which the task is not proved gone. */
+  /** The given machines on which the task is not proved to have ended. */
   private List<Machine> holding(TaskId task, Set<String> names) {
     List<Machine> found = new ArrayList<>();
     for (String name : names) {
@@ -139,32 +145,33 @@
 
   private boolean due(Machine machine, double share, long knownMs, boolean outage) {
     if (owned.apply(machine) != null) {
-      // A new owner's workers need a moment to show that their tasks have ended.
+      // After a takeover, workers need some time to show the new owner that their tasks have ended.
       return share > Constants.CANCELLATION_LAST_SHARE
           || share > Constants.CANCELLATION_OWNER_SHARE && knownMs > noticeMs();
     }
     if (outage) {
-      // A living owner may have proof that it cannot write.
+      // A live owner may have proof that it cannot write.
       return share > Constants.CANCELLATION_OWNERLESS_SHARE && ownerless(machine);
     }
-    // What the owner has proved would be on record, if it lives; else nobody may be there to do it.
-    // After an outage it needs a moment to write that, or machines that work would go back.
+    // The proof of a live owner would be on record by now; without a live owner there may be nobody
+    // else to return the machine. After an outage the owner needs some time to write its proof, or
+    // healthy machines would be returned.
     return share > Constants.CANCELLATION_LAST_SHARE
         && watermark.copyIsCurrent()
         && clock.now() - currentSince > noticeMs();
   }
 
-  /** ms within which an owner that lives has proof that tasks have ended, and has it on record. */
+  /** ms within which a live owner has proof that tasks have ended, and has it on record. */
   private double noticeMs() {
     return cancelMs * Constants.CANCELLATION_NOTICE_SHARE;
   }
 
-  /** The share of the time for a cancellation that has passed, at most. */
+  /** Upper bound on the share of the time for a cancellation that has passed, with clock error. */
   private double share(String job) {
     return (double) (clock.wall() - view.cancelledMs(job) + clockErrorMs) / cancelMs;
   }
 
-  /** The machines that each of a job's tasks may be on, by the record. */
+  /** The machines that each live task of a job may be on, according to the partitions' records. */
   private Map<TaskId, Set<String>> placements(String job) {
     Map<TaskId, Set<String>> found = new HashMap<>();
     Map<Integer, StateCache.Entry<Progress>> chunks = view.progress.get(job);
@@ -179,7 +186,10 @@
     return found;
   }
 
-  /** What the owner has proof of but cannot write, in an outage, is not on the machine any more. */
+  /**
+   * Whether the task has left the machine by the record, or by proof that this controller has as
+   * the owner but cannot write during an outage.
+   */
   private boolean provedGone(Machine machine, TaskId task) {
     WorkerSession session = owned.apply(machine);
     Integer attempt = machine.tasks().get(task);
@@ -187,14 +197,14 @@
         || session != null && evidence.end(session, machine, task, attempt) != null;
   }
 
-  /** Whether the machine's partition has no owner that can act; told apart in an outage only. */
+  /** Whether the machine's partition has no owner that can act; valid during an outage only. */
   private boolean ownerless(Machine machine) {
     String owner = membership.owner(machine.part());
     return owner == null || !watermark.acts(owner);
   }
 
   private void giveBack(List<String> machines) {
-    LOG.info("cancelled tasks are not proved gone: {} go back", machines);
+    LOG.info("cancelled tasks not proved to have ended in time: returning machines {}", machines);
     returning = true;
     cloud.giveBack(
         machines,
