--- a/src/main/java/org/baygw/control/workers/ConsolidationRound.java
+++ b/src/main/java/org/baygw/control/workers/ConsolidationRound.java
@@ -20,21 +20,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The design's rounds over the machines of this controller: sets a search up, lets it run a few
- * nodes at a time, and keeps the moves it asked for until they are made or out of date.
+ * Periodic consolidation of tasks on this controller's machines: sets up a search, runs it a few
+ * nodes at a time, and keeps the planned moves until they are made or expire.
  */
 public final class ConsolidationRound {
-  /** Age of a task that this owner launched. */
+  /** Gives the age of a task in seconds; infinite if its launch time is unknown. */
   interface Age {
     double ageS(String machine, TaskId t);
   }
 
-  /** Whether a task cannot be moved now whatever its age. */
+  /** Tells whether a task cannot be moved now, whatever its age. */
   interface Pinned {
     boolean pinned(String machine, TaskId t);
   }
 
-  /** Whether a machine has an image. */
+  /** Tells whether a machine has an image cached. */
   interface Cached {
     boolean cached(String machine, String image);
   }
@@ -53,28 +53,28 @@
   private long found;
   private long planned;
 
-  /** Rounds searched so far. */
+  /** Number of rounds searched. */
   public long searched() {
     return searched;
   }
 
-  /** Rounds that found something better. */
+  /** Number of rounds that found a better placement. */
   public long found() {
     return found;
   }
 
-  /** Moves planned. */
+  /** Number of moves planned. */
   public long planned() {
     return planned;
   }
 
-  /** Where the task is to go, or null. */
+  /** The machine that the task is planned to move to from the given one, or null. */
   String target(TaskId t, String from) {
     Move m = moves.get(t);
     return m != null && m.from().equals(from) ? m.to() : null;
   }
 
-  /** The tasks that are to move to each machine. */
+  /** The tasks that are planned to move to each machine. */
   Map<String, List<TaskId>> coming() {
     Map<String, List<TaskId>> out = new HashMap<>();
     moves.forEach((t, m) -> out.computeIfAbsent(m.to(), k -> new ArrayList<>()).add(t));
@@ -85,7 +85,9 @@
     moves.remove(t);
   }
 
-  /** Goes on with the round; returns where pending tasks are to be placed. */
+  /**
+   * Advances the round by a step; returns the machines chosen for pending tasks if it has ended.
+   */
   Map<TaskId, String> tick(
       long now,
       StateCache view,
@@ -188,10 +190,10 @@
   }
 
   /**
-   * The machines that a round could empty, by index, with their tasks: nothing on them stays, and
-   * they hold fewer than alpha/mu tasks, or emptying them would not pay. The tasks of all others
-   * stay where they are. Those with the most tasks come first: the search changes last what it
-   * placed first, so the machines that are emptied most cheaply are tried before the others.
+   * The machines that a round could empty, by index, with their tasks: all of them can be moved,
+   * and there are fewer than alpha/mu, or the moves would cost more than the machine saves. The
+   * tasks of all other machines stay. Machines with the most tasks come first: the search revises
+   * its first choices last, so the machines that are cheapest to empty are tried before the others.
    */
   private static Map<Integer, List<TaskId>> emptiable(
       StateCache view,
@@ -253,7 +255,7 @@
         }
       }
       LOG.info(
-          "a round over {} tasks and {} machines found {} instead of {} after {} nodes: {}",
+          "consolidation of {} tasks on {} machines: cost {} instead of {} after {} nodes, moves {}",
           best.length,
           machines.size(),
           search.bestCost(),
@@ -261,7 +263,7 @@
           search.nodes(),
           moves);
     } else {
-      LOG.debug("a round over {} tasks found nothing in {} nodes", best.length, search.nodes());
+      LOG.debug("consolidation of {} tasks: no better placement in {} nodes", best.length, search.nodes());
     }
     search = null;
     return placed;
