--- a/src/main/java/org/baygw/control/workers/WorkerReachability.java
+++ b/src/main/java/org/baygw/control/workers/WorkerReachability.java
@@ -11,9 +11,10 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * Whether this controller itself reaches the workers of its zone. When all of its own fall silent
- * at once it is likelier cut off from them than they are dead: then others take its partitions, and
- * its workers are not held to be lost. It asks one worker after the other until one answers.
+ * Tracks whether this controller reaches the workers of its zone. If all its own workers fall
+ * silent at once, the controller is more likely cut off than the workers are dead: other
+ * controllers then take over its partitions, and the workers do not count as lost. While cut off,
+ * it probes one worker after the other until one answers.
  */
 final class WorkerReachability {
   private final Clock clock;
@@ -34,21 +35,21 @@
     this.membership = membership;
   }
 
-  /** A worker of the zone was heard, whoever owns it. */
+  /** Called when a worker of the zone was heard, whichever controller owns it. */
   void heard(String zone) {
     if (zone.equals(settings.zone())) {
       lastHeard = clock.now();
     }
   }
 
-  /** This controller fell behind: that it heard nobody meanwhile says nothing. */
+  /** Called after this controller stalled: workers' silence during the stall proves nothing. */
   void stalled() {
     lastHeard = clock.now();
   }
 
   /**
-   * Whether the silence of one worker says something of it: others were heard lately, or there are
-   * few.
+   * Whether one worker's silence is evidence that it is lost: other workers were heard recently, or
+   * this controller owns too few to be judged by them.
    */
   boolean sure() {
     return clock.now() - lastHeard <= Constants.SURE_REPORTS * periodMs();
