--- a/src/main/java/org/baygw/control/workers/TaskFailures.java
+++ b/src/main/java/org/baygw/control/workers/TaskFailures.java
@@ -11,18 +11,18 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * What is learnt from tasks that fail. A job whose tasks fail on several machines was submitted
- * with a mistake, most likely, and waits longer and longer between its tries. A machine is sick if
- * it fails several jobs and one of them is known to succeed elsewhere; without that, some mistaken
- * jobs would condemn every machine that they are tried on.
+ * Tracks failed tasks by job and machine. A job whose tasks fail on several machines is most likely
+ * faulty itself, and is retried with exponential backoff. A machine is sick if several jobs fail on
+ * it and one of them is known to succeed elsewhere; without the second condition a few faulty jobs
+ * would make every machine that they are tried on count as sick.
  */
 final class TaskFailures {
-  /** The tries of a job that fails. */
+  /** Retry state of a job whose tasks fail. */
   private static final class Backoff {
     int errors;
     long until;
 
-    /** Machines on which it failed, and until when it is not tried there again. */
+    /** Machines on which the job failed, and until when it is not retried there. */
     final Map<String, Long> machines = new HashMap<>();
   }
 
@@ -37,19 +37,19 @@
     this.view = view;
   }
 
-  /** Whether the job's next try has to wait. */
+  /** Whether the job's next retry has to wait. */
   boolean waits(String job) {
     Backoff backoff = backoffs.get(job);
     return backoff != null && clock.now() < backoff.until;
   }
 
-  /** Whether the job is not to be tried on the machine now. */
+  /** Whether the job failed on the machine and must not be retried there yet. */
   boolean avoids(String job, String machine) {
     Backoff backoff = backoffs.get(job);
     return backoff != null && backoff.machines.getOrDefault(machine, 0L) > clock.now();
   }
 
-  /** A task has ended on a machine. */
+  /** Records how a task ended on a machine. */
   void learn(Partition partition, WorkerSession worker, TaskId task, TerminationEvidence.End end) {
     WorkerCodec.Seen seen = worker.seen.get(task);
     if (end == TerminationEvidence.End.DONE) {
@@ -90,7 +90,8 @@
   }
 
   /**
-   * Whether tasks of the job have completed; of a service, whether it failed on one machine only.
+   * Whether tasks of the job have completed; for a service, whether it failed on one machine at
+   * most.
    */
   private boolean succeeds(String id) {
     StateCache.Entry<Job> job = view.jobs.get(id);
