--- a/src/main/java/org/baygw/control/workers/EndedTasks.java
+++ b/src/main/java/org/baygw/control/workers/EndedTasks.java
@@ -9,18 +9,20 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * The ended tasks on a page of a partition's record: they stand there until their job's progress
- * has them.
+ * The lists of ended tasks on a page of a partition's record, which keeps them until their job's
+ * progress includes them.
  */
 final class EndedTasks {
-  /** Adds tasks of a job to those that a page has already. */
+  /** Adds tasks of a job to a page's list of ended tasks. */
   static void add(Map<String, String> texts, String job, TreeMap<Integer, Integer> more) {
     TreeMap<Integer, Integer> all = PartitionRecord.indexes(texts.get(job));
     all.putAll(more);
     texts.put(job, PartitionRecord.indexes(all));
   }
 
-  /** Forgets ended tasks that their job's progress has taken over, or that need none any more. */
+  /**
+   * Removes ended tasks that their job's progress includes, or whose job has no progress any more.
+   */
   static void forgetKnown(PartitionRecord r, StateCache view) {
     forget(
         r.done(),
