--- a/src/main/java/org/baygw/control/workers/WorkerCodec.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCodec.java
@@ -9,7 +9,7 @@
 import org.baygw.control.core.Json;
 import org.baygw.control.model.TaskId;
 
-/** The workers' protocol on the wire. */
+/** Encodes and decodes the messages of the worker protocol. */
 final class WorkerCodec {
   /** State of a task in a report. */
   enum State {
@@ -27,7 +27,7 @@
     REFUSED
   }
 
-  /** One task of a report. */
+  /** A task in a report. */
   record Seen(int attempt, State state, Cause cause) {}
 
   /** A worker's report. */
@@ -43,17 +43,17 @@
       Double noticeS,
       Map<TaskId, Seen> tasks) {}
 
-  /** What a worker is told to do with a task. */
+  /** What an order tells a worker to do with a task. */
   enum Verb {
     LAUNCH,
     KILL,
     FORGET
   }
 
-  /** One command. */
+  /** An order to a worker; graceS is the time in seconds that a killed task has to save. */
   record Order(Verb verb, TaskId task, int attempt, double graceS) {}
 
-  /** Returns null where the body is no report. */
+  /** Returns null if the body is not a valid report. */
   static Report decode(JsonNode n) {
     String host = n.path("host").asText("");
     String zone = n.path("yard").asText("");
@@ -85,7 +85,7 @@
               };
       if (id != null) {
         Seen seen = new Seen(t.path("try").asInt(), state, cause);
-        // A refused second attempt may stand beside the first: the one that is there counts.
+        // A refused second attempt may be listed with the first: the one that has not ended counts.
         tasks.merge(id, seen, (a, b) -> b.state() == State.ENDED ? a : b);
       }
     }
