--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -15,8 +15,8 @@
   public static final int MACHINE_TASKS = 200;
 
   /**
-   * Share of the state service's value limit up to which a page of a partition's record takes new
-   * tasks.
+   * Share of the state service's value limit up to which new tasks are added to a page of a
+   * partition's record.
    */
   public static final double RECORD_FULL = 0.85;
 
@@ -24,31 +24,37 @@
   public static final double RECORD_ENDED = 0.3;
 
   /**
-   * Share of it that what a page's machines have to do takes when pages of the record are split:
-   * with what has ended there the page is nearly full then.
+   * Share of the value limit that the machines' tasks on one page exceed when pages of the record
+   * are split: with its ended tasks the page is nearly full by then.
    */
   public static final double RECORD_CROWDED = 0.5;
 
-  /** Share of it that pages must take on average for that: splitting them halves it at the most. */
+  /**
+   * Mean share of the value limit that these tasks must exceed for a split, which at most halves
+   * it.
+   */
   public static final double RECORD_SPLIT_LOAD = 0.2;
 
   /**
-   * Share of a write's changes and bytes that pages take: the rest is for jobs, machines and moves.
+   * Share of a write's operations and bytes for pages: the rest is for jobs, machines and moves.
    */
   public static final double RECORD_WRITE_SHARE = 0.75;
 
-  /** Bytes of a page kept free for what ends: it moves from one list to another, and may grow. */
+  /**
+   * Bytes of a page kept free for ended tasks: their entries move from one list to another, and may
+   * grow.
+   */
   public static final int RECORD_SPARE_BYTES = 200;
 
   /** Bytes an entry of a page takes beside its name and text: quotes, colon, comma. */
   public static final int RECORD_ENTRY_BYTES = 6;
 
-  /** Bytes a task takes of it, about, with its share of its job's name. */
+  /** Approximate bytes that a task takes on a page, with its share of its job's name. */
   public static final int RECORD_TASK_BYTES = 8;
 
   /**
-   * Machines whose ends go into one write: a partition has some forty, and a write is at most 64
-   * KiB.
+   * Maximum number of machines whose ended tasks go into one write: a partition has some forty
+   * machines, and a write is at most 64 KiB.
    */
   public static final int MACHINES_PER_WRITE = 64;
 
@@ -62,23 +68,25 @@
   public static final int OWNERS_KEPT = 24;
 
   /**
-   * ms between two writes of a partition's record while tokens are scarce: what ends meanwhile
-   * shares one.
+   * Minimum ms between two writes of a partition's record while tokens are scarce: changes in
+   * between share a write.
    */
   public static final long RECORD_PACE_MS = 400;
 
   /**
-   * ms added to that for each further page: a write takes as many changes as pages, and grants need
-   * some.
+   * ms added to that interval for each further page: a write takes an operation for each page, and
+   * grants need some too.
    */
   public static final long RECORD_PACE_MS_A_PAGE = 40;
 
-  /** ms between two tries to place what found no room, while nothing else calls for a write. */
+  /**
+   * ms between attempts to place tasks that fit on no machine, while nothing else needs a write.
+   */
   public static final long PLACE_AGAIN_MS = 100;
 
   /**
-   * Machines' own records deleted in one write of their partition's record; the rest waits for the
-   * next.
+   * Maximum number of machines' own records deleted in one write of their partition's record; the
+   * rest waits for the next.
    */
   public static final int DELETES_PER_WRITE = 6;
 
@@ -126,8 +134,8 @@
   public static final long ROLE_LOOK_MS = 200;
 
   /**
-   * Workers to which a new owner introduces itself in one step: each costs a request, and on a
-   * small share of a processor the answers must not hold reports up.
+   * Workers to which a new owner announces its token in one tick: each takes a request, and on a
+   * small share of a processor the answers must not delay reports.
    */
   public static final int INTRODUCTIONS_A_STEP = 24;
 
@@ -264,69 +272,81 @@
   /** Bytes of a request body (protocol). */
   public static final int MAX_BODY = 64 * 1024;
 
-  /** ms for a worker's answer to direct orders; the rest comes by its reports. */
+  /**
+   * ms for a worker's answer to direct orders; after it, their outcome is known from its reports.
+   */
   public static final int ORDERS_TIMEOUT_MS = 2_500;
 
-  /** Token bits below the claim's stamp: raises within one claim. */
+  /** Bits of a fencing token below the claim's stamp, which count increments within one claim. */
   public static final int TOKEN_BITS = 20;
 
   /** Clock drift of two machines together, relative: 0.05% each (protocol), doubled for safety. */
   public static final double DRIFT = 0.002;
 
-  /** ms added to a lease before it is held to have run out. */
+  /** ms added to a lease before it counts as expired. */
   public static final long LEASE_MARGIN_MS = 500;
 
   /**
-   * Reports that show that our answers do not arrive before a worker counts as deaf: one answer is
-   * now and then lost, and a report may have been sent before the answer came.
+   * Signs of a missed response after which a worker counts as not receiving responses: single ones
+   * get lost, and a report may have been sent before the response arrived.
    */
   public static final int DEAF_REPORTS = 3;
 
-  /** Leases within which they count together: a deaf worker's session ends once a lease. */
+  /**
+   * Leases within which these signs add up: without responses a worker's session ends once a lease.
+   */
   public static final int DEAF_LEASES = 3;
 
   /**
-   * Completed tasks that a worker is told to forget together: each time it has forgotten something
-   * it reports once more.
+   * Minimum number of completed tasks that a worker is ordered to forget together: each time it has
+   * forgotten tasks it sends one more report.
    */
   public static final int FORGET_TOGETHER = 6;
 
-  /** Report periods of silence after which a worker is asked: a period is at most 1.25 of them. */
+  /**
+   * Report periods of silence after which a worker is probed: two reports are at most 1.25 periods
+   * apart.
+   */
   public static final double ASK_REPORTS = 1.4;
 
   /**
-   * Report periods of silence after which a machine that did not answer is given up and returned.
+   * Report periods of silence after which a machine that did not answer a probe is given up and
+   * returned.
    */
   public static final double LOST_REPORTS = 1.9;
 
   /**
-   * Report periods without a word from any worker of its zone after which a controller takes itself
-   * for cut off from them: a report comes within 1.25, and a worker counts as silent only after
+   * Report periods without a report from any worker of its zone after which a controller considers
+   * itself cut off from them: a report comes within 1.25, and a worker counts as silent only after
    * 1.9.
    */
   public static final double UNHEARD_REPORTS = 1.5;
 
-  /**
-   * Report periods within which any other worker must have been heard for one to count as silent.
-   */
+  /** Report periods within which another worker must have been heard for one to count as silent. */
   public static final double SURE_REPORTS = 0.5;
 
-  /** Machines that it must have for that: few may really have ended together. */
+  /**
+   * Minimum number of machines for a controller to consider itself cut off: a few may really fail
+   * together.
+   */
   public static final int UNHEARD_MACHINES = 5;
 
   /**
-   * ms after a takeover before workers are asked: most come by themselves, and asking renews no
+   * ms after a takeover before workers are probed: most report by themselves, and a probe renews no
    * lease.
    */
   public static final long ASK_FIRST_MS = 1_000;
 
-  /** Report periods between two questions to a worker that does not answer. */
+  /** Report periods between two probes of a worker that does not answer. */
   public static final double ASK_AGAIN_REPORTS = 0.5;
 
-  /** Report periods within which a worker must have been heard to be given anything directly. */
+  /**
+   * Report periods within which a worker must have been heard to be sent direct orders or new
+   * tasks.
+   */
   public static final double HEARD_REPORTS = 2;
 
-  /** ms a worker is remembered that reports before its machine is on record. */
+  /** ms for which a worker is remembered that reports before its machine is on record. */
   public static final long UNREGISTERED_MS = 10_000;
 
   /** Times its saving time that a stopped task is given, since machines differ in speed. */
@@ -336,12 +356,13 @@
   public static final double GRACE_S = 1;
 
   /**
-   * Times the notice that the rest of a task must be estimated at to be given up at once: half of
-   * those at the edge would have ended in time, the other half loses all it had.
+   * Factor on the termination notice: a task with a longer estimated remaining time is stopped at
+   * once. Half of the borderline tasks would have ended in time, the other half would lose all
+   * their work.
    */
   public static final double NOTICE_SLACK = 1.0;
 
-  /** ms for a worker's answer when it is asked whether it is there. */
+  /** ms for a worker's answer to a probe. */
   public static final int SHOW_TIMEOUT_MS = 1_500;
 
   /**
@@ -371,32 +392,32 @@
   public static final double CANCEL_SHARE = 0.4;
 
   /**
-   * Share of the time for a cancellation after which a partition's owner has the cloud take a
-   * machine back that may still have a cancelled task: the usual way is quicker, and what is left
-   * is enough for a few tries.
+   * Share of the time for a cancellation after which a partition's owner returns a machine that may
+   * still have a cancelled task: normal cancellation is faster, and the remaining time is enough
+   * for a few attempts.
    */
   public static final double CANCELLATION_OWNER_SHARE = 0.5;
 
   /**
-   * Share of that time for which the owner must know of the task before: after a takeover workers
-   * need a few reports to show what has ended.
+   * Share of that time for which the owner must have known of the task before: after a takeover
+   * workers need a few reports to show which tasks have ended.
    */
   public static final double CANCELLATION_NOTICE_SHARE = 0.15;
 
   /**
-   * The same for a partition without a living owner, in an outage: an owner that is only slow goes
-   * first.
+   * Share of that time after which any controller returns such a machine if its partition has no
+   * live owner, in an outage: an owner that is only slow acts first.
    */
   public static final double CANCELLATION_OWNERLESS_SHARE = 0.6;
 
   /**
-   * The same for any controller whose copy is current, whoever owns the machine: a few tries are
-   * left.
+   * Share of that time after which any controller with a current copy returns such a machine,
+   * whoever owns it: the remaining time is enough for a few attempts.
    */
   public static final double CANCELLATION_LAST_SHARE = 0.8;
 
   /**
-   * ms a granted task may wait in a partition with no fitting machine before it goes back to the
+   * ms that a granted task may wait in a partition with no fitting machine before it returns to the
    * queue.
    */
   public static final long UNGRANT_MS = 4_000;
@@ -407,12 +428,10 @@
    */
   public static final long AVOID_MS = 20_000;
 
-  /**
-   * ms between looks at which of an owner's machines are quiet; what changes is looked at at once.
-   */
+  /** ms between checks of an owner's machines for silence; changed machines are checked at once. */
   public static final long LOOK_MS = 300;
 
-  /** ms between looks at all tasks of all its machines, for what no change brought to notice. */
+  /** ms between checks of all tasks of all its machines, to find what no change has shown. */
   public static final long LOOK_ALL_MS = 1_500;
 
   /** ms between the leader's passes over the queue. */
@@ -439,13 +458,15 @@
   /** ms between two looks for what the leader need not remember any more. */
   public static final long SCHEDULER_CLEAN_MS = 10_000;
 
-  /** Errors on a machine with no completed task in between that make it sick. */
+  /**
+   * Failed tasks on a machine, with no completed one in between, from which it may count as sick.
+   */
   public static final int SICK_ERRORS = 3;
 
-  /** ms. First wait of a job after an error of its tasks; doubles up to ERROR_BACKOFF_MAX_MS. */
+  /** ms. Base of a job's backoff after errors of its tasks; doubles up to ERROR_BACKOFF_MAX_MS. */
   public static final long ERROR_BACKOFF_MS = 1_000;
 
-  /** ms. Longest wait of a job that keeps failing. */
+  /** ms. Longest backoff of a failing job; also for how long it is not retried on a machine. */
   public static final long ERROR_BACKOFF_MAX_MS = 60_000;
 
   /** Times the list's lag for which a machine that was rented may be missing from it. */
@@ -510,7 +531,7 @@
   /** Nodes a round may visit; at the start about what 100 ms allow on a whole core. */
   public static final int SEARCH_NODES = 2_000;
 
-  /** Nodes per step, so that reports and polls are answered between steps. */
+  /** Search nodes per step, so that reports and polls are answered between steps. */
   public static final int SEARCH_STEP = 50;
 
   /**
@@ -520,12 +541,12 @@
   public static final double AGE_LIMIT_S = 5;
 
   /**
-   * Tasks a round looks at for each move it may make: those of the machines that are emptied most
-   * cheaply. More only make the search longer, for a move a machine is the least it takes.
+   * Tasks that a round considers for each move it may make: those of the machines that are cheapest
+   * to empty. More only make the search longer, since a machine takes at least one move.
    */
   public static final int ROUND_TASKS_PER_MOVE = 4;
 
-  /** ms after which a planned move that did not come about is dropped. */
+  /** ms after which a planned move that has not been made is dropped. */
   public static final long MOVE_PLAN_MS = 15_000;
 
   /**
