--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -48,10 +48,7 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(PartitionWriter.class);
 
-  /**
-   * Operations that a move needs beside its own page: the job's progress and another partition's
-   * page.
-   */
+  /** Writes of a move beside its own page: the job's progress and another partition's page. */
   private static final int MOVE_WRITES = 2;
 
   /** Conditions of a placement beside those on pages and jobs: the list of leaving machines. */
@@ -101,10 +98,7 @@
       return PartitionRecord.pageOf(machine, pages);
     }
 
-    /**
-     * The editable copy of a page, without the ended tasks that their jobs' progress includes by
-     * now.
-     */
+    /** The editable copy of a page, without ended tasks that their progress includes. */
     PartitionRecord copy(int page) {
       PartitionRecord copy = copies.get(page);
       if (copy == null) {
@@ -148,9 +142,7 @@
       return writes() > 0;
     }
 
-    /**
-     * Whether the page is in this write or fits within its limits on pages, bytes and operations.
-     */
+    /** Whether the page is in this write or fits its limits on pages, bytes and operations. */
     boolean touchable(int page) {
       if (touched.contains(page)) {
         return true;
@@ -258,10 +250,7 @@
     dirty.add(machine);
   }
 
-  /**
-   * Whether a write in progress involves the task: orders to launch or forget it wait for the
-   * outcome.
-   */
+  /** Whether a write in progress involves the task: launches and forgets wait for its outcome. */
   boolean moving(TaskId t) {
     return moving.contains(t);
   }
@@ -530,9 +519,7 @@
     return true;
   }
 
-  /**
-   * Marks jobs whose last tasks have ended as done in the same write, and deletes their progress.
-   */
+  /** Marks jobs as done whose last tasks end in this write, and deletes their progress. */
   private void finish(Draft d) {
     Map<String, Integer> ended = new LinkedHashMap<>();
     d.done.values().forEach(m -> m.forEach((job, l) -> ended.merge(job, l.size(), Integer::sum)));
