--- a/src/main/java/org/baygw/control/workers/ConsolidationRound.java
+++ b/src/main/java/org/baygw/control/workers/ConsolidationRound.java
@@ -263,7 +263,10 @@
           search.nodes(),
           moves);
     } else {
-      LOG.debug("consolidation of {} tasks: no better placement in {} nodes", best.length, search.nodes());
+      LOG.debug(
+          "consolidation of {} tasks: no better placement in {} nodes",
+          best.length,
+          search.nodes());
     }
     search = null;
     return placed;
--- a/src/main/java/org/baygw/control/workers/WorkerSession.java
+++ b/src/main/java/org/baygw/control/workers/WorkerSession.java
@@ -75,6 +75,7 @@
 
   /** A probe has failed since the worker was last heard. */
   boolean unanswered;
+
   long nextAsk;
   boolean leaseOver;
 
@@ -83,6 +84,7 @@
 
   /** Recent signs that responses do not reach the worker. */
   int unheeded;
+
   long lastUnheeded;
 
   WorkerSession(String name, long claim, long now) {
--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -109,7 +109,14 @@
   public void checkin(long request, byte[] body) {
     WorkerCodec.Report r = WorkerCodec.decode(Json.parse(body));
     if (r == null) {
-      out.answer(request, 400, Json.bytes(Json.object().put("error", "malformed report: host, yard, stint or tick is missing or invalid")));
+      out.answer(
+          request,
+          400,
+          Json.bytes(
+              Json.object()
+                  .put(
+                      "error",
+                      "malformed report: host, yard, stint or tick is missing or invalid")));
       return;
     }
     if (!store.loaded() || view.partitionsPerZone() == 0) {
@@ -142,7 +149,10 @@
     if (!a.newer(r.session(), r.tick())
         || view.drains.get(r.machine()) == StateCache.Drain.GONE
         || buried.contains(r.machine())) {
-      out.answer(request, 503, Json.bytes(Json.object().put("error", "outdated report or returned machine")));
+      out.answer(
+          request,
+          503,
+          Json.bytes(Json.object().put("error", "outdated report or returned machine")));
       return;
     }
     a.heed(r, clock.now(), evidence.leaseMs());
@@ -160,7 +170,10 @@
       if (m != null) {
         commands.urgent(a, m.value(), l);
       }
-      out.answer(request, 503, Json.bytes(Json.object().put("error", "knowledge of cancellations is out of date")));
+      out.answer(
+          request,
+          503,
+          Json.bytes(Json.object().put("error", "knowledge of cancellations is out of date")));
       return;
     }
     List<WorkerCodec.Order> orders =
