--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -18,7 +18,7 @@
    * Share of the state service's value limit up to which new tasks are added to a page of a
    * partition's record.
    */
-  public static final double RECORD_FULL = 0.85;
+  public static final double RECORD_FULL_SHARE = 0.85;
 
   /** Share of the value limit that ended tasks may take before progress takes them over. */
   public static final double RECORD_ENDED = 0.3;
@@ -27,13 +27,13 @@
    * Share of the value limit that the machines' tasks on one page exceed when pages of the record
    * are split: with its ended tasks the page is nearly full by then.
    */
-  public static final double RECORD_CROWDED = 0.5;
+  public static final double RECORD_SPLIT_SHARE = 0.5;
 
   /**
    * Mean share of the value limit that these tasks must exceed for a split, which at most halves
    * it.
    */
-  public static final double RECORD_SPLIT_LOAD = 0.2;
+  public static final double RECORD_SPLIT_MEAN_SHARE = 0.2;
 
   /**
    * Share of a write's operations and bytes for pages: the rest is for jobs, machines and moves.
@@ -71,18 +71,18 @@
    * Minimum ms between two writes of a partition's record while tokens are scarce: changes in
    * between share a write.
    */
-  public static final long RECORD_PACE_MS = 400;
+  public static final long RECORD_WRITE_INTERVAL_MS = 400;
 
   /**
    * ms added to that interval for each further page: a write takes an operation for each page, and
    * grants need some too.
    */
-  public static final long RECORD_PACE_MS_A_PAGE = 40;
+  public static final long RECORD_WRITE_INTERVAL_PER_PAGE_MS = 40;
 
   /**
    * ms between attempts to place tasks that fit on no machine, while nothing else needs a write.
    */
-  public static final long PLACE_AGAIN_MS = 100;
+  public static final long PLACEMENT_RETRY_MS = 100;
 
   /**
    * Maximum number of machines' own records deleted in one write of their partition's record; the
@@ -137,7 +137,7 @@
    * Workers to which a new owner announces its token in one tick: each takes a request, and on a
    * small share of a processor the answers must not delay reports.
    */
-  public static final int INTRODUCTIONS_A_STEP = 24;
+  public static final int TOKEN_ANNOUNCEMENTS_PER_STEP = 24;
 
   /** ms between renewals of the hold: three tries within its life. */
   public static final long HOLD_TOUCH_MS = 1_500;
@@ -290,24 +290,24 @@
    * Signs of a missed response after which a worker counts as not receiving responses: single ones
    * get lost, and a report may have been sent before the response arrived.
    */
-  public static final int DEAF_REPORTS = 3;
+  public static final int MISSED_RESPONSES = 3;
 
   /**
    * Leases within which these signs add up: without responses a worker's session ends once a lease.
    */
-  public static final int DEAF_LEASES = 3;
+  public static final int MISSED_RESPONSE_LEASES = 3;
 
   /**
    * Minimum number of completed tasks that a worker is ordered to forget together: each time it has
    * forgotten tasks it sends one more report.
    */
-  public static final int FORGET_TOGETHER = 6;
+  public static final int FORGET_BATCH_TASKS = 6;
 
   /**
    * Report periods of silence after which a worker is probed: two reports are at most 1.25 periods
    * apart.
    */
-  public static final double ASK_REPORTS = 1.4;
+  public static final double PROBE_AFTER_REPORTS = 1.4;
 
   /**
    * Report periods of silence after which a machine that did not answer a probe is given up and
@@ -320,31 +320,31 @@
    * itself cut off from them: a report comes within 1.25, and a worker counts as silent only after
    * 1.9.
    */
-  public static final double UNHEARD_REPORTS = 1.5;
+  public static final double CUT_OFF_REPORTS = 1.5;
 
   /** Report periods within which another worker must have been heard for one to count as silent. */
-  public static final double SURE_REPORTS = 0.5;
+  public static final double CONCLUSIVE_SILENCE_REPORTS = 0.5;
 
   /**
    * Minimum number of machines for a controller to consider itself cut off: a few may really fail
    * together.
    */
-  public static final int UNHEARD_MACHINES = 5;
+  public static final int CUT_OFF_MIN_MACHINES = 5;
 
   /**
    * ms after a takeover before workers are probed: most report by themselves, and a probe renews no
    * lease.
    */
-  public static final long ASK_FIRST_MS = 1_000;
+  public static final long PROBE_AFTER_TAKEOVER_MS = 1_000;
 
   /** Report periods between two probes of a worker that does not answer. */
-  public static final double ASK_AGAIN_REPORTS = 0.5;
+  public static final double PROBE_INTERVAL_REPORTS = 0.5;
 
   /**
    * Report periods within which a worker must have been heard to be sent direct orders or new
    * tasks.
    */
-  public static final double HEARD_REPORTS = 2;
+  public static final double RECENTLY_HEARD_REPORTS = 2;
 
   /** ms for which a worker is remembered that reports before its machine is on record. */
   public static final long UNREGISTERED_MS = 10_000;
@@ -363,7 +363,7 @@
   public static final double NOTICE_SLACK = 1.0;
 
   /** ms for a worker's answer to a probe. */
-  public static final int SHOW_TIMEOUT_MS = 1_500;
+  public static final int PROBE_TIMEOUT_MS = 1_500;
 
   /**
    * ms without a tick that show that this controller itself fell behind, so that silence proves
@@ -402,7 +402,7 @@
    * Share of that time for which the owner must have known of the task before: after a takeover
    * workers need a few reports to show which tasks have ended.
    */
-  public static final double CANCELLATION_NOTICE_SHARE = 0.15;
+  public static final double CANCELLATION_PROOF_SHARE = 0.15;
 
   /**
    * Share of that time after which any controller returns such a machine if its partition has no
@@ -414,7 +414,7 @@
    * Share of that time after which any controller with a current copy returns such a machine,
    * whoever owns it: the remaining time is enough for a few attempts.
    */
-  public static final double CANCELLATION_LAST_SHARE = 0.8;
+  public static final double CANCELLATION_ANY_CONTROLLER_SHARE = 0.8;
 
   /**
    * ms that a granted task may wait in a partition with no fitting machine before it returns to the
@@ -429,10 +429,10 @@
   public static final long AVOID_MS = 20_000;
 
   /** ms between checks of an owner's machines for silence; changed machines are checked at once. */
-  public static final long LOOK_MS = 300;
+  public static final long MACHINE_CHECK_MS = 300;
 
   /** ms between checks of all tasks of all its machines, to find what no change has shown. */
-  public static final long LOOK_ALL_MS = 1_500;
+  public static final long MACHINE_FULL_CHECK_MS = 1_500;
 
   /** ms between the leader's passes over the queue. */
   public static final long SCHEDULER_PASS_MS = 100;
@@ -532,7 +532,7 @@
   public static final int SEARCH_NODES = 2_000;
 
   /** Search nodes per step, so that reports and polls are answered between steps. */
-  public static final int SEARCH_STEP = 50;
+  public static final int SEARCH_NODES_PER_STEP = 50;
 
   /**
    * s. Tasks that run longer stay put: a move restarts a task that cannot save, so it must be
@@ -547,7 +547,7 @@
   public static final int ROUND_TASKS_PER_MOVE = 4;
 
   /** ms after which a planned move that has not been made is dropped. */
-  public static final long MOVE_PLAN_MS = 15_000;
+  public static final long MOVE_PLAN_TTL_MS = 15_000;
 
   /**
    * ms after which a job within its team's guarantee of which nothing runs goes first in the queue:
--- a/src/main/java/org/baygw/control/admin/Admin.java
+++ b/src/main/java/org/baygw/control/admin/Admin.java
@@ -214,10 +214,10 @@
       metrics.gauge("baygw.jobs", "Jobs on record", view, v -> v.jobs.size());
       metrics.gauge(
           "baygw.unmet", "Tasks without room, at the leader", scheduler, Scheduler::unmetTasks);
-      metrics.counter("baygw.rounds", "Rounds searched", workers, w -> w.rounds().searched());
+      metrics.counter("baygw.rounds", "Rounds searched", workers, w -> w.rounds().searchedRounds());
       metrics.counter(
-          "baygw.rounds.better", "Rounds that improved", workers, w -> w.rounds().found());
-      metrics.counter("baygw.moves", "Moves planned", workers, w -> w.rounds().planned());
+          "baygw.rounds.better", "Rounds that improved", workers, w -> w.rounds().improvedRounds());
+      metrics.counter("baygw.moves", "Moves planned", workers, w -> w.rounds().plannedMoves());
       metrics.histogram("baygw.launch.ms", "From acceptance to launch", workers.launchMs());
       metrics.histogram("baygw.write.ms", "Conditional writes, with their wait", store.writeMs());
       if (standby != null) {
--- a/src/main/java/org/baygw/control/quota/FreeCapacity.java
+++ b/src/main/java/org/baygw/control/quota/FreeCapacity.java
@@ -72,7 +72,7 @@
 
   /** The pages of a partition's record that can take no more tasks. */
   private Set<Integer> fullPages(Partition part, int pages) {
-    int limitBytes = (int) (settings.state().valueKb() * 1024 * Constants.RECORD_FULL);
+    int limitBytes = (int) (settings.state().valueKb() * 1024 * Constants.RECORD_FULL_SHARE);
     Set<Integer> full = new HashSet<>();
     for (int i = 0; i < pages; i++) {
       if (view.pages().bytes(part, i) > limitBytes) {
--- a/src/main/java/org/baygw/control/workers/CancellationDeadline.java
+++ b/src/main/java/org/baygw/control/workers/CancellationDeadline.java
@@ -90,7 +90,7 @@
     if (clock.now() < nextLook) {
       return;
     }
-    nextLook = clock.now() + Constants.LOOK_ALL_MS;
+    nextLook = clock.now() + Constants.MACHINE_FULL_CHECK_MS;
     if (currentSince == 0 || !watermark.copyIsCurrent()) {
       currentSince = clock.now();
     }
@@ -146,7 +146,7 @@
   private boolean due(Machine machine, double share, long knownMs, boolean outage) {
     if (owned.apply(machine) != null) {
       // After a takeover, workers need some time to show the new owner that their tasks have ended.
-      return share > Constants.CANCELLATION_LAST_SHARE
+      return share > Constants.CANCELLATION_ANY_CONTROLLER_SHARE
           || share > Constants.CANCELLATION_OWNER_SHARE && knownMs > noticeMs();
     }
     if (outage) {
@@ -156,14 +156,14 @@
     // The proof of a live owner would be on record by now; without a live owner there may be nobody
     // else to return the machine. After an outage the owner needs some time to write its proof, or
     // healthy machines would be returned.
-    return share > Constants.CANCELLATION_LAST_SHARE
+    return share > Constants.CANCELLATION_ANY_CONTROLLER_SHARE
         && watermark.copyIsCurrent()
         && clock.now() - currentSince > noticeMs();
   }
 
   /** ms within which a live owner has proof that tasks have ended, and has it on record. */
   private double noticeMs() {
-    return cancelMs * Constants.CANCELLATION_NOTICE_SHARE;
+    return cancelMs * Constants.CANCELLATION_PROOF_SHARE;
   }
 
   /** Upper bound on the share of the time for a cancellation that has passed, with clock error. */
--- a/src/main/java/org/baygw/control/workers/ConsolidationRound.java
+++ b/src/main/java/org/baygw/control/workers/ConsolidationRound.java
@@ -49,23 +49,23 @@
   private List<String> machines = List.of();
   private double costBefore;
   private long nextRound;
-  private long searched;
-  private long found;
-  private long planned;
+  private long searchedRounds;
+  private long improvedRounds;
+  private long plannedMoves;
 
   /** Number of rounds searched. */
-  public long searched() {
-    return searched;
+  public long searchedRounds() {
+    return searchedRounds;
   }
 
   /** Number of rounds that found a better placement. */
-  public long found() {
-    return found;
+  public long improvedRounds() {
+    return improvedRounds;
   }
 
   /** Number of moves planned. */
-  public long planned() {
-    return planned;
+  public long plannedMoves() {
+    return plannedMoves;
   }
 
   /** The machine that the task is planned to move to from the given one, or null. */
@@ -108,7 +108,7 @@
       begin(view, params, rooms.get(), pending.get(), age, pinned, cached);
       return Map.of();
     }
-    if (search.step(Constants.SEARCH_STEP) || search.nodes() >= params.searchNodes()) {
+    if (search.step(Constants.SEARCH_NODES_PER_STEP) || search.nodes() >= params.searchNodes()) {
       return finish(now);
     }
     return Map.of();
@@ -186,7 +186,7 @@
     }
     search = new BranchAndBound(hosts, items, params.alpha(), params.mu(), most);
     costBefore = search.bestCost();
-    searched++;
+    searchedRounds++;
   }
 
   /**
@@ -240,7 +240,7 @@
     Map<TaskId, String> placed = new LinkedHashMap<>();
     int[] best = search.best();
     if (search.improved()) {
-      found++;
+      improvedRounds++;
       for (int v = 0; v < best.length; v++) {
         if (search.current(v) < 0 && best[v] >= 0) {
           placed.put(tasks.get(v), machines.get(best[v]));
@@ -250,8 +250,8 @@
               new Move(
                   machines.get(search.current(v)),
                   machines.get(best[v]),
-                  now + Constants.MOVE_PLAN_MS));
-          planned++;
+                  now + Constants.MOVE_PLAN_TTL_MS));
+          plannedMoves++;
         }
       }
       LOG.info(
--- a/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
+++ b/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
@@ -186,7 +186,7 @@
 
   boolean heardLately(WorkerSession a) {
     return clock.now() - a.lastHeard
-        <= settings.workers().reportS() * 1000 * Constants.HEARD_REPORTS;
+        <= settings.workers().reportS() * 1000 * Constants.RECENTLY_HEARD_REPORTS;
   }
 
   MachineCapacity room(WorkerSession a, Machine m) {
--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -114,7 +114,7 @@
       Integer known = sizes.get(page);
       if (known == null) {
         known = view.pages().bytes(part, page);
-        if (known > limit() * Constants.RECORD_FULL) {
+        if (known > limit() * Constants.RECORD_FULL_SHARE) {
           known = copy(page).size(); // the copy leaves out ended tasks that progress includes
         }
         sizes.put(page, known);
@@ -168,7 +168,7 @@
     @Override
     public boolean open(String machine) {
       int page = page(machine);
-      return size(page) < limit() * Constants.RECORD_FULL && touchable(page);
+      return size(page) < limit() * Constants.RECORD_FULL_SHARE && touchable(page);
     }
 
     @Override
@@ -266,7 +266,8 @@
       return;
     }
     long pace =
-        Constants.RECORD_PACE_MS + Constants.RECORD_PACE_MS_A_PAGE * (mostPagesWritten() - 1);
+        Constants.RECORD_WRITE_INTERVAL_MS
+            + Constants.RECORD_WRITE_INTERVAL_PER_PAGE_MS * (mostPagesWritten() - 1);
     if (store.scarce() && now < lastWrite + pace) {
       return; // changes until then share the write
     }
@@ -331,7 +332,7 @@
     finish(d);
     place(d);
     if (!d.changed()) {
-      nextTry = clock.now() + Constants.PLACE_AGAIN_MS;
+      nextTry = clock.now() + Constants.PLACEMENT_RETRY_MS;
       moving.clear();
       return null;
     }
@@ -388,8 +389,8 @@
       most = Math.max(most, bytes);
       sum += bytes;
     }
-    return most > limit() * Constants.RECORD_CROWDED
-        && sum > pages * limit() * Constants.RECORD_SPLIT_LOAD;
+    return most > limit() * Constants.RECORD_SPLIT_SHARE
+        && sum > pages * limit() * Constants.RECORD_SPLIT_MEAN_SHARE;
   }
 
   /** Moves the machines that belong on a new page to it, given the new number of pages. */
--- a/src/main/java/org/baygw/control/workers/WorkerCommands.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCommands.java
@@ -79,7 +79,7 @@
 
   /** Called at the start of a tick. */
   void step() {
-    introductions = Constants.INTRODUCTIONS_A_STEP;
+    introductions = Constants.TOKEN_ANNOUNCEMENTS_PER_STEP;
   }
 
   /**
@@ -102,22 +102,27 @@
     if (a.expectedSession > 0 && introduce(a)) {
       return;
     }
-    boolean quiet = now - heardAt(a) > Constants.ASK_REPORTS * settings.workers().reportS() * 1000;
+    boolean quiet =
+        now - heardAt(a) > Constants.PROBE_AFTER_REPORTS * settings.workers().reportS() * 1000;
     if (a.asking
         || a.directBusy
         || a.addr.isEmpty()
         || now < a.nextAsk
-        || !quiet && (a.trusted() || a.lastHeard > 0 || now - a.since < Constants.ASK_FIRST_MS)) {
+        || !quiet
+            && (a.trusted()
+                || a.lastHeard > 0
+                || now - a.since < Constants.PROBE_AFTER_TAKEOVER_MS)) {
       return;
     }
     a.asking = true;
-    a.nextAsk = now + (long) (settings.workers().reportS() * 1000 * Constants.ASK_AGAIN_REPORTS);
+    a.nextAsk =
+        now + (long) (settings.workers().reportS() * 1000 * Constants.PROBE_INTERVAL_REPORTS);
     out.call(
         a.addr,
         "GET",
         "/show",
         null,
-        Constants.SHOW_TIMEOUT_MS,
+        Constants.PROBE_TIMEOUT_MS,
         (status, body) -> {
           a.asking = false;
           if (status != 200) {
@@ -206,7 +211,7 @@
         orders.add(new WorkerCodec.Order(WorkerCodec.Verb.KILL, t.getKey(), s.attempt(), grace));
       }
     }
-    if (completed.size() >= Constants.FORGET_TOGETHER) {
+    if (completed.size() >= Constants.FORGET_BATCH_TASKS) {
       orders.addAll(completed);
     }
     // With outdated knowledge of cancellations this owner may not know that a job was cancelled,
--- a/src/main/java/org/baygw/control/workers/WorkerReachability.java
+++ b/src/main/java/org/baygw/control/workers/WorkerReachability.java
@@ -52,7 +52,7 @@
    * this controller owns too few to be judged by them.
    */
   boolean sure() {
-    return clock.now() - lastHeard <= Constants.SURE_REPORTS * periodMs();
+    return clock.now() - lastHeard <= Constants.CONCLUSIVE_SILENCE_REPORTS * periodMs();
   }
 
   void tick() {
@@ -66,9 +66,9 @@
         own += view.machinesOf(p).size();
       }
     }
-    if (own < Constants.UNHEARD_MACHINES || !membership.othersReach()) {
+    if (own < Constants.CUT_OFF_MIN_MACHINES || !membership.othersReach()) {
       lastHeard = clock.now();
-    } else if (clock.now() - lastHeard > Constants.UNHEARD_REPORTS * periodMs()) {
+    } else if (clock.now() - lastHeard > Constants.CUT_OFF_REPORTS * periodMs()) {
       membership.reaches(false);
     }
   }
@@ -81,7 +81,7 @@
     if (clock.now() < nextAsk) {
       return;
     }
-    nextAsk = clock.now() + (long) (periodMs() * Constants.ASK_AGAIN_REPORTS);
+    nextAsk = clock.now() + (long) (periodMs() * Constants.PROBE_INTERVAL_REPORTS);
     List<String> addrs = new ArrayList<>();
     for (Partition p : membership.partitions()) {
       if (p.zone().equals(settings.zone())) {
@@ -97,7 +97,7 @@
         "GET",
         "/show",
         null,
-        Constants.SHOW_TIMEOUT_MS,
+        Constants.PROBE_TIMEOUT_MS,
         (status, body) -> {
           if (status == 200) {
             lastHeard = clock.now();
--- a/src/main/java/org/baygw/control/workers/WorkerSession.java
+++ b/src/main/java/org/baygw/control/workers/WorkerSession.java
@@ -120,7 +120,7 @@
    */
   void heed(WorkerCodec.Report r, long now, long leaseMs) {
     boolean ended = session > 0 && r.session() > session && now - lastAnswered < leaseMs;
-    if (r.token() > seenToken || now - lastUnheeded > Constants.DEAF_LEASES * leaseMs) {
+    if (r.token() > seenToken || now - lastUnheeded > Constants.MISSED_RESPONSE_LEASES * leaseMs) {
       unheeded = 0;
     }
     if (ended || unanswered || r.token() < answeredToken) {
@@ -130,7 +130,7 @@
   }
 
   boolean deaf() {
-    return unheeded >= Constants.DEAF_REPORTS;
+    return unheeded >= Constants.MISSED_RESPONSES;
   }
 
   Flight flight(TaskId t) {
--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -202,9 +202,9 @@
       seenChanges = view.changes();
       view.takeChangedMachines().forEach(m -> lookAt(m, true));
       if (whole) {
-        nextPass = now + Constants.LOOK_MS;
+        nextPass = now + Constants.MACHINE_CHECK_MS;
         boolean all = now >= nextAll;
-        nextAll = all ? now + Constants.LOOK_ALL_MS : nextAll;
+        nextAll = all ? now + Constants.MACHINE_FULL_CHECK_MS : nextAll;
         sessions.values().removeIf(a -> !a.busy && !owns(a));
         for (Partition p : membership.partitions()) {
           if (membership.owned(p) != 0) {
