--- a/src/main/java/org/baygw/control/workers/CancellationDeadline.java
+++ b/src/main/java/org/baygw/control/workers/CancellationDeadline.java
@@ -41,7 +41,7 @@
   private final CancellationWatermark watermark;
 
   /** Gives the session of a machine's worker; null if this controller does not own the machine. */
-  private final Function<Machine, WorkerSession> owned;
+  private final Function<Machine, WorkerSession> ownedSession;
 
   private final long cancelMs;
   private final long clockErrorMs;
@@ -55,8 +55,8 @@
   /** Machines that the cloud has taken back, as long as they are on record. */
   private final Set<String> returned = new HashSet<>();
 
-  private boolean returning;
-  private long nextLook;
+  private boolean returnInProgress;
+  private long nextCheck;
 
   /**
    * Time since which this controller's copy of the state has been current at every check; 0 before
@@ -79,7 +79,7 @@
     this.evidence = evidence;
     this.cloud = cloud;
     this.watermark = watermark;
-    this.owned = owned;
+    this.ownedSession = owned;
     this.cancelMs = (long) (settings.workers().cancelS() * 1000);
     // The wall clock of the cancellation's writer may be off as far as this controller's, in the
     // other direction.
@@ -87,18 +87,18 @@
   }
 
   void tick() {
-    if (clock.now() < nextLook) {
+    if (clock.now() < nextCheck) {
       return;
     }
-    nextLook = clock.now() + Constants.MACHINE_FULL_CHECK_MS;
+    nextCheck = clock.now() + Constants.MACHINE_FULL_CHECK_MS;
     if (currentSince == 0 || !watermark.copyIsCurrent()) {
       currentSince = clock.now();
     }
-    List<String> due = look();
+    List<String> due = findDueMachines();
     // If this controller may have been replaced, the new owner may have proved that the tasks ended
     // and placed others on the machine, which must keep running.
-    if (!due.isEmpty() && !returning && !watermark.mayBeReplaced()) {
-      giveBack(due.subList(0, Math.min(due.size(), Constants.MAX_RETURN)));
+    if (!due.isEmpty() && !returnInProgress && !watermark.mayBeReplaced()) {
+      returnMachines(due.subList(0, Math.min(due.size(), Constants.MAX_RETURN)));
     }
   }
 
@@ -106,7 +106,7 @@
    * Finds the machines on which cancelled tasks are not proved to have ended; returns those due for
    * return.
    */
-  private List<String> look() {
+  private List<String> findDueMachines() {
     returned.retainAll(view.machines.keySet());
     boolean outage = watermark.outageForMost();
     Set<String> pending = new HashSet<>();
@@ -114,9 +114,9 @@
     for (StateCache.Entry<Job> job : view.active.values()) {
       String id = job.value().spec().id();
       if (view.cancelled(id)) {
-        double share = share(id);
+        double share = elapsedShare(id);
         for (Map.Entry<TaskId, Set<String>> task : placements(id).entrySet()) {
-          for (Machine machine : holding(task.getKey(), task.getValue())) {
+          for (Machine machine : machinesWithoutProof(task.getKey(), task.getValue())) {
             pending.add(machine.name());
             long since = pendingSince.computeIfAbsent(machine.name(), k -> clock.now());
             if (due(machine, share, clock.now() - since, outage)) {
@@ -131,7 +131,7 @@
   }
 
   /** The given machines on which the task is not proved to have ended. */
-  private List<Machine> holding(TaskId task, Set<String> names) {
+  private List<Machine> machinesWithoutProof(TaskId task, Set<String> names) {
     List<Machine> found = new ArrayList<>();
     for (String name : names) {
       StateCache.Entry<Machine> machine = view.machines.get(name);
@@ -144,10 +144,10 @@
   }
 
   private boolean due(Machine machine, double share, long knownMs, boolean outage) {
-    if (owned.apply(machine) != null) {
+    if (ownedSession.apply(machine) != null) {
       // After a takeover, workers need some time to show the new owner that their tasks have ended.
       return share > Constants.CANCELLATION_ANY_CONTROLLER_SHARE
-          || share > Constants.CANCELLATION_OWNER_SHARE && knownMs > noticeMs();
+          || share > Constants.CANCELLATION_OWNER_SHARE && knownMs > proofDelayMs();
     }
     if (outage) {
       // A live owner may have proof that it cannot write.
@@ -158,16 +158,16 @@
     // healthy machines would be returned.
     return share > Constants.CANCELLATION_ANY_CONTROLLER_SHARE
         && watermark.copyIsCurrent()
-        && clock.now() - currentSince > noticeMs();
+        && clock.now() - currentSince > proofDelayMs();
   }
 
   /** ms within which a live owner has proof that tasks have ended, and has it on record. */
-  private double noticeMs() {
+  private double proofDelayMs() {
     return cancelMs * Constants.CANCELLATION_PROOF_SHARE;
   }
 
   /** Upper bound on the share of the time for a cancellation that has passed, with clock error. */
-  private double share(String job) {
+  private double elapsedShare(String job) {
     return (double) (clock.wall() - view.cancelledMs(job) + clockErrorMs) / cancelMs;
   }
 
@@ -191,10 +191,10 @@
    * the owner but cannot write during an outage.
    */
   private boolean provedGone(Machine machine, TaskId task) {
-    WorkerSession session = owned.apply(machine);
+    WorkerSession session = ownedSession.apply(machine);
     Integer attempt = machine.tasks().get(task);
     return attempt == null
-        || session != null && evidence.end(session, machine, task, attempt) != null;
+        || session != null && evidence.endOf(session, machine, task, attempt) != null;
   }
 
   /** Whether the machine's partition has no owner that can act; valid during an outage only. */
@@ -203,13 +203,13 @@
     return owner == null || !watermark.acts(owner);
   }
 
-  private void giveBack(List<String> machines) {
+  private void returnMachines(List<String> machines) {
     LOG.info("cancelled tasks not proved to have ended in time: returning machines {}", machines);
-    returning = true;
+    returnInProgress = true;
     cloud.giveBack(
         machines,
         ok -> {
-          returning = false;
+          returnInProgress = false;
           if (ok) {
             returned.addAll(machines);
           }
--- a/src/main/java/org/baygw/control/workers/ConsolidationRound.java
+++ b/src/main/java/org/baygw/control/workers/ConsolidationRound.java
@@ -75,13 +75,13 @@
   }
 
   /** The tasks that are planned to move to each machine. */
-  Map<String, List<TaskId>> coming() {
+  Map<String, List<TaskId>> incomingTasks() {
     Map<String, List<TaskId>> out = new HashMap<>();
     moves.forEach((t, m) -> out.computeIfAbsent(m.to(), k -> new ArrayList<>()).add(t));
     return out;
   }
 
-  void drop(TaskId t) {
+  void dropMove(TaskId t) {
     moves.remove(t);
   }
 
@@ -105,16 +105,16 @@
         return Map.of();
       }
       nextRound = now + (long) (params.roundPeriodS() * 1000);
-      begin(view, params, rooms.get(), pending.get(), age, pinned, cached);
+      startSearch(view, params, rooms.get(), pending.get(), age, pinned, cached);
       return Map.of();
     }
     if (search.step(Constants.SEARCH_NODES_PER_STEP) || search.nodes() >= params.searchNodes()) {
-      return finish(now);
+      return finishSearch(now);
     }
     return Map.of();
   }
 
-  private void begin(
+  private void startSearch(
       StateCache view,
       SchedulingParameters params,
       List<MachineCapacity> rooms,
@@ -131,7 +131,7 @@
     machines = rooms.stream().map(r -> r.machine().name()).toList();
     int most = (int) Math.ceil(rooms.size() * params.moveShare());
     Map<Integer, List<TaskId>> movable =
-        emptiable(view, params, rooms, age, pinned, most * Constants.ROUND_TASKS_PER_MOVE);
+        emptiableMachines(view, params, rooms, age, pinned, most * Constants.ROUND_TASKS_PER_MOVE);
     for (int p = 0; p < rooms.size(); p++) {
       MachineCapacity r = rooms.get(p);
       double[] free = {r.freeCpus(), r.freeGpus(), r.freeMemoryGb()};
@@ -195,7 +195,7 @@
    * tasks of all other machines stay. Machines with the most tasks come first: the search revises
    * its first choices last, so the machines that are cheapest to empty are tried before the others.
    */
-  private static Map<Integer, List<TaskId>> emptiable(
+  private static Map<Integer, List<TaskId>> emptiableMachines(
       StateCache view,
       SchedulingParameters params,
       List<MachineCapacity> rooms,
@@ -236,7 +236,7 @@
     return out;
   }
 
-  private Map<TaskId, String> finish(long now) {
+  private Map<TaskId, String> finishSearch(long now) {
     Map<TaskId, String> placed = new LinkedHashMap<>();
     int[] best = search.best();
     if (search.improved()) {
--- a/src/main/java/org/baygw/control/workers/EndedTasks.java
+++ b/src/main/java/org/baygw/control/workers/EndedTasks.java
@@ -23,14 +23,14 @@
   /**
    * Removes ended tasks that their job's progress includes, or whose job has no progress any more.
    */
-  static void forgetKnown(PartitionRecord r, StateCache view) {
-    forget(
+  static void removeRecorded(PartitionRecord r, StateCache view) {
+    removeMatching(
         r.done(),
         (job, i, attempt) -> {
           Progress p = view.written(job, i / Constants.CHUNK_TASKS);
           return p == null || p.done.get(i);
         });
-    forget(
+    removeMatching(
         r.back(),
         (job, i, attempt) -> {
           Progress p = view.written(job, i / Constants.CHUNK_TASKS);
@@ -38,14 +38,14 @@
         });
   }
 
-  private interface Known {
-    boolean known(String job, int index, int attempt);
+  private interface Recorded {
+    boolean recorded(String job, int index, int attempt);
   }
 
-  private static void forget(Map<String, String> texts, Known known) {
+  private static void removeMatching(Map<String, String> texts, Recorded known) {
     for (String job : List.copyOf(texts.keySet())) {
       TreeMap<Integer, Integer> list = PartitionRecord.indexes(texts.get(job));
-      if (list.entrySet().removeIf(e -> known.known(job, e.getKey(), e.getValue()))) {
+      if (list.entrySet().removeIf(e -> known.recorded(job, e.getKey(), e.getValue()))) {
         if (list.isEmpty()) {
           texts.remove(job);
         } else {
--- a/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
+++ b/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
@@ -25,34 +25,34 @@
 /** Places the tasks granted to a partition on its machines, in order of priority. */
 final class FirstFitPlacer {
   /** Space left in a partition's record for the next write. */
-  interface Space {
+  interface RecordSpace {
     /** Whether the next write can place a task on the machine. */
-    boolean open(String machine);
+    boolean hasSpace(String machine);
 
     /**
      * Reserves the bytes of a task on the machine; returns true if fewer machines may have space
      * now.
      */
-    boolean take(String machine, int bytes);
+    boolean reserve(String machine, int bytes);
   }
 
   /**
    * The granted tasks of a partition to be placed, by machine, and those to be returned to the
    * queue, each with its attempt.
    */
-  record Plan(Map<String, Map<TaskId, Integer>> onto, Map<TaskId, Integer> back) {}
+  record Plan(Map<String, Map<TaskId, Integer>> placements, Map<TaskId, Integer> returned) {}
 
   private final Clock clock;
   private final Settings settings;
   private final StateCache view;
   private final Map<String, WorkerSession> sessions;
   private final ConsolidationRound rounds;
-  private final CapacityCache rooms;
+  private final CapacityCache capacityCache;
   private final Map<TaskId, Long> unplacedSince = new HashMap<>();
   private final TaskFailures failures;
 
   /** Machines that a consolidation round chose for pending tasks. */
-  private final Map<TaskId, String> chosen = new HashMap<>();
+  private final Map<TaskId, String> preferredMachines = new HashMap<>();
 
   FirstFitPlacer(
       Clock clock,
@@ -66,7 +66,7 @@
     this.view = view;
     this.sessions = sessions;
     this.rounds = rounds;
-    this.rooms = new CapacityCache(view);
+    this.capacityCache = new CapacityCache(view);
     this.failures = new TaskFailures(clock, view, replication);
   }
 
@@ -75,16 +75,16 @@
     return failures;
   }
 
-  void choose(Map<TaskId, String> placed) {
-    chosen.clear();
-    chosen.putAll(placed);
+  void preferMachines(Map<TaskId, String> placed) {
+    preferredMachines.clear();
+    preferredMachines.putAll(placed);
   }
 
   /**
    * Finds machines for a partition's granted tasks, for a limited number of jobs and within the
    * space of its record.
    */
-  Plan plan(Partition part, long claim, Set<TaskId> leaving, int mostJobs, Space space) {
+  Plan plan(Partition part, long claim, Set<TaskId> leaving, int mostJobs, RecordSpace space) {
     long now = clock.now();
     Map<String, Map<TaskId, Integer>> onto = new LinkedHashMap<>();
     Map<TaskId, Integer> back = new LinkedHashMap<>();
@@ -95,8 +95,8 @@
     }
     List<TaskId> todo = new ArrayList<>(unplaced);
     todo.sort(Comparator.comparing((TaskId t) -> priority(t)).thenComparing(t -> t));
-    List<MachineCapacity> free = rooms(part, claim);
-    free.removeIf(r -> !space.open(r.machine().name()));
+    List<MachineCapacity> free = capacities(part, claim);
+    free.removeIf(r -> !space.hasSpace(r.machine().name()));
     Set<String> jobs = new HashSet<>();
     MachineCapacity last = null;
     String lastJob = null;
@@ -117,9 +117,9 @@
             t.job().equals(lastJob)
                 && !s.service()
                 && last.fits(s)
-                && space.open(last.machine().name());
-        r = again ? last : wanted(free, t, s);
-        r = r == null ? firstFit(free, s) : r;
+                && space.hasSpace(last.machine().name());
+        r = again ? last : preferred(free, t, s);
+        r = r == null ? bestMachine(free, s) : r;
         if (r == null) {
           fullFor = t.job(); // its other tasks would not fit either
         }
@@ -133,8 +133,8 @@
         Map<TaskId, Integer> there = onto.computeIfAbsent(name, k -> new LinkedHashMap<>());
         there.put(t, l.attempt());
         int bytes = Constants.RECORD_TASK_BYTES + (again ? 0 : t.job().length());
-        if (space.take(name, bytes)) {
-          free.removeIf(x -> !space.open(x.machine().name()));
+        if (space.reserve(name, bytes)) {
+          free.removeIf(x -> !space.hasSpace(x.machine().name()));
         }
       } else if (over || now - since > Constants.UNGRANT_MS) {
         back.put(t, l.attempt());
@@ -154,16 +154,16 @@
     return j == null ? JobSpec.Priority.LOW : j.value().spec().priority();
   }
 
-  List<MachineCapacity> rooms(Partition part, long claim) {
+  List<MachineCapacity> capacities(Partition part, long claim) {
     List<MachineCapacity> out = new ArrayList<>();
-    Map<String, List<TaskId>> coming = rounds.coming();
+    Map<String, List<TaskId>> coming = rounds.incomingTasks();
     for (String name : view.machinesOf(part)) {
       WorkerSession a = sessions.get(name);
       StateCache.Entry<Machine> e = view.machines.get(name);
       if (a == null || a.claim != claim || !placeable(a, e.value())) {
         continue;
       }
-      MachineCapacity r = room(a, e.value());
+      MachineCapacity r = freeCapacity(a, e.value());
       if (r != null) {
         for (TaskId t : coming.getOrDefault(name, List.of())) {
           r.take(view.jobs.get(t.job()).value().spec());
@@ -175,24 +175,24 @@
   }
 
   boolean placeable(WorkerSession a, Machine m) {
-    return a.trusted()
-        && !a.leaseOver
-        && !a.deaf()
+    return a.claimConfirmed()
+        && !a.leaseExpired
+        && !a.missesResponses()
         && a.noticeUntil == 0
         && m.condition() == Machine.Condition.OK
         && !view.drains.containsKey(m.name())
-        && heardLately(a);
+        && recentlyHeard(a);
   }
 
-  boolean heardLately(WorkerSession a) {
+  boolean recentlyHeard(WorkerSession a) {
     return clock.now() - a.lastHeard
         <= settings.workers().reportS() * 1000 * Constants.RECENTLY_HEARD_REPORTS;
   }
 
-  MachineCapacity room(WorkerSession a, Machine m) {
-    MachineCapacity r = rooms.of(m);
+  MachineCapacity freeCapacity(WorkerSession a, Machine m) {
+    MachineCapacity r = capacityCache.of(m);
     if (r != null) {
-      for (Map.Entry<TaskId, WorkerCodec.Seen> s : a.seen.entrySet()) {
+      for (Map.Entry<TaskId, WorkerCodec.ReportedTask> s : a.reported.entrySet()) {
         if (s.getValue().state() != WorkerCodec.State.ENDED && !m.tasks().containsKey(s.getKey())) {
           StateCache.Entry<Job> j = view.jobs.get(s.getKey().job());
           if (j != null) {
@@ -207,8 +207,8 @@
   /**
    * The machine that a round chose for the task; null if there is none or the task no longer fits.
    */
-  private MachineCapacity wanted(List<MachineCapacity> free, TaskId t, JobSpec s) {
-    String name = chosen.remove(t);
+  private MachineCapacity preferred(List<MachineCapacity> free, TaskId t, JobSpec s) {
+    String name = preferredMachines.remove(t);
     if (name != null) {
       for (MachineCapacity r : free) {
         if (r.machine().name().equals(name) && r.fits(s)) {
@@ -220,13 +220,13 @@
   }
 
   /** The machine that suits best; null if none fits or the job waits for its retry. */
-  private MachineCapacity firstFit(List<MachineCapacity> free, JobSpec s) {
-    if (failures.waits(s.id())) {
+  private MachineCapacity bestMachine(List<MachineCapacity> free, JobSpec s) {
+    if (failures.inBackoff(s.id())) {
       return null;
     }
     MachineCapacity best = null;
     for (MachineCapacity r : free) {
-      if (!r.fits(s) || failures.avoids(s.id(), r.machine().name())) {
+      if (!r.fits(s) || failures.avoidsMachine(s.id(), r.machine().name())) {
         continue;
       }
       if (best == null || r.better(best, s)) {
--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -35,7 +35,7 @@
  */
 final class PartitionWriter {
   /** Access to worker sessions and to the writers of other partitions. */
-  interface Owner {
+  interface Context {
     /** The session of the worker on one of the partition's machines, or null. */
     WorkerSession session(String machine);
 
@@ -54,7 +54,7 @@
   /** Conditions of a placement beside those on pages and jobs: the list of leaving machines. */
   private static final int OTHER_CONDITIONS = 2;
 
-  final Partition part;
+  final Partition partition;
   final long claim;
   private final Clock clock;
   private final Settings settings;
@@ -63,16 +63,16 @@
   private final TerminationEvidence evidence;
   private final FirstFitPlacer placer;
   private final ConsolidationRound rounds;
-  private final Owner owner;
+  private final Context context;
   private final Set<String> dirty = new LinkedHashSet<>();
 
   /** Tasks that a write in progress adds to machines or removes from them. */
-  private final Set<TaskId> moving = new HashSet<>();
+  private final Set<TaskId> tasksInWrite = new HashSet<>();
 
   private boolean queued;
   private boolean writing;
   private long lastWrite = Long.MIN_VALUE / 2;
-  private long nextTry;
+  private long nextPlacement;
   private long seenChanges = -1;
 
   /**
@@ -80,30 +80,30 @@
    * them. Pages are copied only when needed, so that the cost of a write depends on what it
    * changes.
    */
-  private final class Draft implements FirstFitPlacer.Space {
-    final Txn txn = new Txn().when(Keys.claim(part.toString()), claim);
-    final int pages = view.pages().count(part);
+  private final class Draft implements FirstFitPlacer.RecordSpace {
+    final Txn txn = new Txn().when(Keys.claim(partition.toString()), claim);
+    final int pages = view.pages().count(partition);
     private final Map<Integer, PartitionRecord> copies = new HashMap<>();
     private final Map<Integer, Integer> sizes = new HashMap<>();
-    final Set<Integer> touched = new LinkedHashSet<>();
-    final Map<String, Map<TaskId, Integer>> lists = new LinkedHashMap<>();
-    final Map<Integer, Map<String, TreeMap<Integer, Integer>>> done = new HashMap<>();
-    final Map<Integer, Map<String, TreeMap<Integer, Integer>>> back = new HashMap<>();
-    final Set<String> handled = new HashSet<>();
+    final Set<Integer> changedPages = new LinkedHashSet<>();
+    final Map<String, Map<TaskId, Integer>> taskLists = new LinkedHashMap<>();
+    final Map<Integer, Map<String, TreeMap<Integer, Integer>>> doneTasks = new HashMap<>();
+    final Map<Integer, Map<String, TreeMap<Integer, Integer>>> returnedTasks = new HashMap<>();
+    final Set<String> handledMachines = new HashSet<>();
     final Set<String> placedOn = new LinkedHashSet<>();
-    final List<Runnable> after = new ArrayList<>();
-    PartitionWriter target;
+    final List<Runnable> onSuccess = new ArrayList<>();
+    PartitionWriter moveTarget;
 
-    int page(String machine) {
+    int pageOf(String machine) {
       return PartitionRecord.pageOf(machine, pages);
     }
 
     /** The editable copy of a page, without ended tasks that their progress includes. */
-    PartitionRecord copy(int page) {
+    PartitionRecord editable(int page) {
       PartitionRecord copy = copies.get(page);
       if (copy == null) {
-        copy = view.pages().get(part, page).copy();
-        EndedTasks.forgetKnown(copy, view);
+        copy = view.pages().get(partition, page).copy();
+        EndedTasks.removeRecorded(copy, view);
         copies.put(page, copy);
       }
       return copy;
@@ -113,9 +113,9 @@
     int size(int page) {
       Integer known = sizes.get(page);
       if (known == null) {
-        known = view.pages().bytes(part, page);
-        if (known > limit() * Constants.RECORD_FULL_SHARE) {
-          known = copy(page).size(); // the copy leaves out ended tasks that progress includes
+        known = view.pages().bytes(partition, page);
+        if (known > pageLimitBytes() * Constants.RECORD_FULL_SHARE) {
+          known = editable(page).size(); // the copy leaves out ended tasks that progress includes
         }
         sizes.put(page, known);
       }
@@ -123,10 +123,10 @@
     }
 
     /** The page with the fewest bytes, among the changed ones if there are any. */
-    int emptiest() {
+    int smallestPage() {
       int best = -1;
       for (int page = 0; page < pages; page++) {
-        if ((touched.isEmpty() || touched.contains(page))
+        if ((changedPages.isEmpty() || changedPages.contains(page))
             && (best < 0 || size(page) < size(best))) {
           best = page;
         }
@@ -135,7 +135,7 @@
     }
 
     int writes() {
-      return txn.writes() + touched.size();
+      return txn.writes() + changedPages.size();
     }
 
     boolean changed() {
@@ -143,50 +143,50 @@
     }
 
     /** Whether the page is in this write or fits its limits on pages, bytes and operations. */
-    boolean touchable(int page) {
-      if (touched.contains(page)) {
+    boolean canChange(int page) {
+      if (changedPages.contains(page)) {
         return true;
       }
       int bytes = size(page);
-      for (int other : touched) {
+      for (int other : changedPages) {
         bytes += size(other);
       }
-      return touched.size() < mostPagesWritten()
+      return changedPages.size() < maxPagesPerWrite()
           && bytes < Constants.MAX_BODY * Constants.RECORD_WRITE_SHARE
           && writes() < settings.state().txnOps();
     }
 
-    void touch(int page) {
-      touched.add(page);
+    void markChanged(int page) {
+      changedPages.add(page);
     }
 
     /** Sets the number of pages of the record, which is stored on the first page. */
     void setPages(int count) {
-      copies.put(0, copy(0).withPages(count));
+      copies.put(0, editable(0).withPages(count));
     }
 
     @Override
-    public boolean open(String machine) {
-      int page = page(machine);
-      return size(page) < limit() * Constants.RECORD_FULL_SHARE && touchable(page);
+    public boolean hasSpace(String machine) {
+      int page = pageOf(machine);
+      return size(page) < pageLimitBytes() * Constants.RECORD_FULL_SHARE && canChange(page);
     }
 
     @Override
-    public boolean take(String machine, int bytes) {
-      int page = page(machine);
-      boolean fresh = touched.add(page);
+    public boolean reserve(String machine, int bytes) {
+      int page = pageOf(machine);
+      boolean fresh = changedPages.add(page);
       sizes.put(page, size(page) + bytes);
-      return fresh || !open(machine);
+      return fresh || !hasSpace(machine);
     }
 
-    Map<TaskId, Integer> list(String machine) {
-      touch(page(machine));
-      return lists.computeIfAbsent(machine, k -> new LinkedHashMap<>(view.on(machine)));
+    Map<TaskId, Integer> editableTasks(String machine) {
+      markChanged(pageOf(machine));
+      return taskLists.computeIfAbsent(machine, k -> new LinkedHashMap<>(view.on(machine)));
     }
 
-    void note(
+    void addEnded(
         Map<Integer, Map<String, TreeMap<Integer, Integer>>> ended, int page, TaskId t, int value) {
-      touch(page);
+      markChanged(page);
       ended
           .computeIfAbsent(page, k -> new HashMap<>())
           .computeIfAbsent(t.job(), k -> new TreeMap<>())
@@ -194,32 +194,34 @@
     }
 
     /** Adds the changed pages to the transaction. */
-    Txn seal() {
-      lists.forEach(
+    Txn buildTxn() {
+      taskLists.forEach(
           (machine, tasks) -> {
-            PartitionRecord r = copy(page(machine));
+            PartitionRecord r = editable(pageOf(machine));
             if (tasks.isEmpty()) {
               r.on().remove(machine);
             } else {
               r.on().put(machine, PartitionRecord.tasks(tasks));
             }
           });
-      done.forEach((page, m) -> m.forEach((job, l) -> EndedTasks.add(copy(page).done(), job, l)));
-      back.forEach((page, m) -> m.forEach((job, l) -> EndedTasks.add(copy(page).back(), job, l)));
+      doneTasks.forEach(
+          (page, m) -> m.forEach((job, l) -> EndedTasks.add(editable(page).done(), job, l)));
+      returnedTasks.forEach(
+          (page, m) -> m.forEach((job, l) -> EndedTasks.add(editable(page).back(), job, l)));
       // The first page holds the number of pages, which determines the page of each machine.
-      txn.when(Keys.record(part, 0), view.stamp(Keys.record(part, 0)));
-      for (int page : touched) {
-        String key = Keys.record(part, page);
-        txn.when(key, view.stamp(key)).put(key, Records.record(copy(page)));
+      txn.when(Keys.record(partition, 0), view.stamp(Keys.record(partition, 0)));
+      for (int page : changedPages) {
+        String key = Keys.record(partition, page);
+        txn.when(key, view.stamp(key)).put(key, Records.record(editable(page)));
       }
       return txn;
     }
   }
 
   /** Maximum number of pages in one write: its other operations are for jobs and moves. */
-  private int mostPagesWritten() {
+  private int maxPagesPerWrite() {
     int most = (int) Math.ceil(settings.state().txnOps() * Constants.RECORD_WRITE_SHARE);
-    return Math.min(most, view.pages().count(part));
+    return Math.min(most, view.pages().count(partition));
   }
 
   PartitionWriter(
@@ -232,8 +234,8 @@
       TerminationEvidence evidence,
       FirstFitPlacer placer,
       ConsolidationRound rounds,
-      Owner owner) {
-    this.part = part;
+      Context owner) {
+    this.partition = part;
     this.claim = claim;
     this.clock = clock;
     this.settings = settings;
@@ -242,7 +244,7 @@
     this.evidence = evidence;
     this.placer = placer;
     this.rounds = rounds;
-    this.owner = owner;
+    this.context = owner;
   }
 
   /** Marks a machine on which tasks may have ended or whose condition has changed. */
@@ -251,23 +253,23 @@
   }
 
   /** Whether a write in progress involves the task: launches and forgets wait for its outcome. */
-  boolean moving(TaskId t) {
-    return moving.contains(t);
+  boolean inWrite(TaskId t) {
+    return tasksInWrite.contains(t);
   }
 
   /** Starts a write if there are changes and no write is in progress. */
-  void pump() {
+  void writeIfDue() {
     long now = clock.now();
     if (queued || writing) {
       return;
     }
-    boolean place = !view.unplaced(part).isEmpty() && now >= nextTry;
+    boolean place = !view.unplaced(partition).isEmpty() && now >= nextPlacement;
     if (dirty.isEmpty() && !place) {
       return;
     }
     long pace =
         Constants.RECORD_WRITE_INTERVAL_MS
-            + Constants.RECORD_WRITE_INTERVAL_PER_PAGE_MS * (mostPagesWritten() - 1);
+            + Constants.RECORD_WRITE_INTERVAL_PER_PAGE_MS * (maxPagesPerWrite() - 1);
     if (store.scarce() && now < lastWrite + pace) {
       return; // changes until then share the write
     }
@@ -276,7 +278,7 @@
     store.settle(
         Store.Urgency.LAUNCH,
         () -> {
-          made[0] = writing ? null : make();
+          made[0] = writing ? null : buildDraft();
           if (made[0] == null) {
             return null;
           }
@@ -287,56 +289,56 @@
         ok -> {
           queued = false;
           if (made[0] != null) {
-            written(made[0], ok);
+            writeFinished(made[0], ok);
           }
         });
   }
 
-  private void written(Draft d, boolean ok) {
+  private void writeFinished(Draft d, boolean ok) {
     writing = false;
-    moving.clear();
-    nextTry = 0;
-    if (d.target != null) {
-      d.target.writing = false;
-      d.target.moving.clear();
+    tasksInWrite.clear();
+    nextPlacement = 0;
+    if (d.moveTarget != null) {
+      d.moveTarget.writing = false;
+      d.moveTarget.tasksInWrite.clear();
     }
     if (ok) {
-      d.after.forEach(Runnable::run);
-      owner.placed(d.placedOn);
+      d.onSuccess.forEach(Runnable::run);
+      context.placed(d.placedOn);
     } else {
-      dirty.addAll(d.handled); // to be checked again
+      dirty.addAll(d.handledMachines); // to be checked again
     }
   }
 
-  private int limit() {
+  private int pageLimitBytes() {
     return (int) (settings.state().valueKb() * 1024);
   }
 
-  private Draft make() {
-    moving.clear();
-    Draft split = split();
+  private Draft buildDraft() {
+    tasksInWrite.clear();
+    Draft split = splitPages();
     if (split != null) {
       return split;
     }
     Draft d = new Draft();
     for (String name : List.copyOf(dirty)) {
-      int page = d.page(name);
-      if (d.size(page) < limit() - Constants.RECORD_SPARE_BYTES
-          && d.touchable(page)
-          && d.handled.size() < Constants.MACHINES_PER_WRITE) {
+      int page = d.pageOf(name);
+      if (d.size(page) < pageLimitBytes() - Constants.RECORD_SPARE_BYTES
+          && d.canChange(page)
+          && d.handledMachines.size() < Constants.MACHINES_PER_WRITE) {
         dirty.remove(name);
-        d.handled.add(name);
-        settle(d, name);
+        d.handledMachines.add(name);
+        applyMachineChanges(d, name);
       }
     }
-    finish(d);
-    place(d);
+    completeJobs(d);
+    placeTasks(d);
     if (!d.changed()) {
-      nextTry = clock.now() + Constants.PLACEMENT_RETRY_MS;
-      moving.clear();
+      nextPlacement = clock.now() + Constants.PLACEMENT_RETRY_MS;
+      tasksInWrite.clear();
       return null;
     }
-    d.seal();
+    d.buildTxn();
     return d;
   }
 
@@ -347,32 +349,32 @@
    * the number determines: before the write, after it, and if this controller fails at any time.
    * The write contains nothing else. The number of pages has no upper bound.
    */
-  private Draft split() {
-    if (!crowded()) {
+  private Draft splitPages() {
+    if (!splitNeeded()) {
       return null;
     }
-    int before = view.pages().count(part);
+    int before = view.pages().count(partition);
     Draft d = new Draft();
-    d.touch(0);
+    d.markChanged(0);
     int after = before;
     int bytes = d.size(0);
     while (after < 2 * before) {
       int page = PartitionRecord.nextSplit(after);
-      int writes = d.touched.contains(page) ? 1 : 2;
-      bytes += d.touched.contains(page) ? 0 : d.size(page);
+      int writes = d.changedPages.contains(page) ? 1 : 2;
+      bytes += d.changedPages.contains(page) ? 0 : d.size(page);
       if (after > before
           && (d.writes() + writes > settings.state().txnOps()
               || bytes > Constants.MAX_BODY * Constants.RECORD_WRITE_SHARE)) {
         break;
       }
-      d.touch(page);
-      d.touch(after);
-      moveTo(d.copy(page), d.copy(after), after, after + 1);
+      d.markChanged(page);
+      d.markChanged(after);
+      moveMachines(d.editable(page), d.editable(after), after, after + 1);
       after++;
     }
     d.setPages(after);
-    d.seal();
-    LOG.info("{}: splitting its record into {} pages", part, after);
+    d.buildTxn();
+    LOG.info("{}: splitting its record into {} pages", partition, after);
     return d;
   }
 
@@ -380,26 +382,26 @@
    * Whether to split pages: one is large, and the others are not nearly empty. Pages are split in
    * order, so a single large page alone would have all pages before it split first.
    */
-  private boolean crowded() {
-    int pages = view.pages().count(part);
+  private boolean splitNeeded() {
+    int pages = view.pages().count(partition);
     int most = 0;
     int sum = 0;
     for (int page = 0; page < pages; page++) {
-      int bytes = view.pages().onBytes(part, page);
+      int bytes = view.pages().onBytes(partition, page);
       most = Math.max(most, bytes);
       sum += bytes;
     }
-    return most > limit() * Constants.RECORD_SPLIT_SHARE
-        && sum > pages * limit() * Constants.RECORD_SPLIT_MEAN_SHARE;
+    return most > pageLimitBytes() * Constants.RECORD_SPLIT_SHARE
+        && sum > pages * pageLimitBytes() * Constants.RECORD_SPLIT_MEAN_SHARE;
   }
 
   /** Moves the machines that belong on a new page to it, given the new number of pages. */
-  private static void moveTo(PartitionRecord from, PartitionRecord to, int page, int pages) {
-    moveTo(from.on(), to.on(), page, pages);
-    moveTo(from.conditions(), to.conditions(), page, pages);
+  private static void moveMachines(PartitionRecord from, PartitionRecord to, int page, int pages) {
+    moveMachines(from.on(), to.on(), page, pages);
+    moveMachines(from.conditions(), to.conditions(), page, pages);
   }
 
-  private static void moveTo(
+  private static void moveMachines(
       Map<String, String> from, Map<String, String> to, int page, int pages) {
     from.entrySet()
         .removeIf(
@@ -413,34 +415,34 @@
   }
 
   /** Removes tasks that are proved to have left a machine, and updates the machine's condition. */
-  private void settle(Draft d, String name) {
+  private void applyMachineChanges(Draft d, String name) {
     StateCache.Entry<Machine> e = view.machines.get(name);
     if (e == null) {
       return;
     }
     Machine m = e.value();
-    WorkerSession a = owner.session(name);
+    WorkerSession a = context.session(name);
     boolean gone = view.drains.get(name) == StateCache.Drain.GONE;
-    Map<TaskId, TerminationEvidence.End> ends = evidence.ends(a, m);
+    Map<TaskId, TerminationEvidence.End> ends = evidence.endedTasks(a, m);
     for (Map.Entry<TaskId, TerminationEvidence.End> end : ends.entrySet()) {
       TaskId t = end.getKey();
-      int attempt = d.list(name).remove(t);
-      moving.add(t);
+      int attempt = d.editableTasks(name).remove(t);
+      tasksInWrite.add(t);
       if (view.grant(t) != null && view.grant(t).attempt() == attempt) {
         if (end.getValue() == TerminationEvidence.End.DONE) {
-          d.note(d.done, d.page(name), t, 1);
-        } else if (gone || !move(d, a, t)) {
-          d.note(d.back, d.page(name), t, attempt);
+          d.addEnded(d.doneTasks, d.pageOf(name), t, 1);
+        } else if (gone || !moveTask(d, a, t)) {
+          d.addEnded(d.returnedTasks, d.pageOf(name), t, attempt);
         }
       }
-      rounds.drop(t);
-      d.after.add(() -> placer.failures().learn(part, a, t, end.getValue()));
+      rounds.dropMove(t);
+      d.onSuccess.add(() -> placer.failures().taskEnded(partition, a, t, end.getValue()));
     }
     Machine.Condition wanted = a.condition == null ? m.condition() : a.condition;
     String condition = wanted == Machine.Condition.OK ? null : wanted.name();
     if (gone) {
       condition = null;
-      if ((d.lists.containsKey(name) ? d.lists.get(name) : m.tasks()).isEmpty()) {
+      if ((d.taskLists.containsKey(name) ? d.taskLists.get(name) : m.tasks()).isEmpty()) {
         // One operation stays reserved for the page from which the machine's condition is removed.
         if (d.txn.writes() < Constants.DELETES_PER_WRITE
             && d.writes() + 1 < settings.state().txnOps()) {
@@ -450,14 +452,14 @@
         }
       }
     }
-    Map<String, String> conditions = d.copy(d.page(name)).conditions();
+    Map<String, String> conditions = d.editable(d.pageOf(name)).conditions();
     if (!Objects.equals(condition, conditions.get(name))) {
-      d.touch(d.page(name));
+      d.markChanged(d.pageOf(name));
       if (condition == null) {
         conditions.remove(name);
       } else {
         conditions.put(name, condition);
-        d.after.add(() -> LOG.info("machine {}: condition is now {}", name, wanted));
+        d.onSuccess.add(() -> LOG.info("machine {}: condition is now {}", name, wanted));
       }
     }
   }
@@ -466,24 +468,24 @@
    * Adds the task to the machine that a round chose, under the next attempt, in the write that
    * removes it from its present one. Returns false if the move cannot be made now.
    */
-  private boolean move(Draft d, WorkerSession from, TaskId t) {
+  private boolean moveTask(Draft d, WorkerSession from, TaskId t) {
     String name = rounds.target(t, from.name);
     StateCache.Entry<Machine> e = name == null ? null : view.machines.get(name);
     StateCache.Entry<Job> j = view.jobs.get(t.job());
-    if (e == null || d.target != null || !view.runs(t.job()) || view.grant(t).stop()) {
+    if (e == null || d.moveTarget != null || !view.runs(t.job()) || view.grant(t).stop()) {
       return false;
     }
     Machine to = e.value();
-    PartitionWriter there = owner.writer(to.part());
-    WorkerSession a = there == null ? null : there.owner.session(name);
+    PartitionWriter there = context.writer(to.part());
+    WorkerSession a = there == null ? null : there.context.session(name);
     if (a == null || there != this && there.writing || !placer.placeable(a, to)) {
       return false;
     }
-    MachineCapacity r = placer.room(a, to);
+    MachineCapacity r = placer.freeCapacity(a, to);
     if (r == null
         || !r.fits(j.value().spec())
-        || d.lists.containsKey(name)
-        || there == this && !d.touchable(d.page(name))
+        || d.taskLists.containsKey(name)
+        || there == this && !d.canChange(d.pageOf(name))
         || d.writes() + MOVE_WRITES > settings.state().txnOps()) {
       return false;
     }
@@ -498,7 +500,7 @@
         .when(Keys.drain(to.part()), view.stamp(Keys.drain(to.part())))
         .when(Keys.job(t.job()), j.stamp());
     if (there == this) {
-      d.list(name).put(t, attempt);
+      d.editableTasks(name).put(t, attempt);
     } else {
       int page = PartitionRecord.pageOf(name, view.pages().count(to.part()));
       String first = Keys.record(to.part(), 0);
@@ -512,18 +514,20 @@
           .when(key, view.stamp(key))
           .when(Keys.claim(to.part().toString()), there.claim)
           .put(key, Records.record(next));
-      d.target = there;
+      d.moveTarget = there;
       there.writing = true;
-      there.moving.add(t);
+      there.tasksInWrite.add(t);
     }
     d.placedOn.add(name);
     return true;
   }
 
   /** Marks jobs as done whose last tasks end in this write, and deletes their progress. */
-  private void finish(Draft d) {
+  private void completeJobs(Draft d) {
     Map<String, Integer> ended = new LinkedHashMap<>();
-    d.done.values().forEach(m -> m.forEach((job, l) -> ended.merge(job, l.size(), Integer::sum)));
+    d.doneTasks
+        .values()
+        .forEach(m -> m.forEach((job, l) -> ended.merge(job, l.size(), Integer::sum)));
     for (String job : ended.keySet()) {
       StateCache.Entry<Job> j = view.jobs.get(job);
       if (j == null
@@ -546,32 +550,32 @@
       for (int c = 0; c < j.value().chunks(); c++) {
         d.txn.delete(Keys.progress(job, c));
       }
-      d.done.values().forEach(m -> m.remove(job));
-      d.touched.forEach(page -> d.copy(page).done().remove(job));
-      d.touched.forEach(page -> d.copy(page).back().remove(job));
+      d.doneTasks.values().forEach(m -> m.remove(job));
+      d.changedPages.forEach(page -> d.editable(page).done().remove(job));
+      d.changedPages.forEach(page -> d.editable(page).back().remove(job));
     }
   }
 
-  private void place(Draft d) {
+  private void placeTasks(Draft d) {
     int conditions =
-        settings.state().txnOps() * 4 - d.txn.conditions() - mostPagesWritten() - OTHER_CONDITIONS;
-    FirstFitPlacer.Plan plan = placer.plan(part, claim, moving, conditions, d);
-    plan.back()
+        settings.state().txnOps() * 4 - d.txn.conditions() - maxPagesPerWrite() - OTHER_CONDITIONS;
+    FirstFitPlacer.Plan plan = placer.plan(partition, claim, tasksInWrite, conditions, d);
+    plan.returned()
         .forEach(
             (t, attempt) -> {
-              d.note(d.back, d.emptiest(), t, attempt);
-              moving.add(t);
+              d.addEnded(d.returnedTasks, d.smallestPage(), t, attempt);
+              tasksInWrite.add(t);
             });
-    if (plan.onto().isEmpty()) {
+    if (plan.placements().isEmpty()) {
       return;
     }
     // No task may be placed on a machine once its return has been decided.
-    d.txn.when(Keys.drain(part), view.stamp(Keys.drain(part)));
-    plan.onto()
+    d.txn.when(Keys.drain(partition), view.stamp(Keys.drain(partition)));
+    plan.placements()
         .forEach(
             (name, tasks) -> {
-              d.list(name).putAll(tasks);
-              moving.addAll(tasks.keySet());
+              d.editableTasks(name).putAll(tasks);
+              tasksInWrite.addAll(tasks.keySet());
               d.placedOn.add(name);
               for (TaskId t : tasks.keySet()) {
                 // The job must not have been cancelled. The grant needs no condition: while the job
--- a/src/main/java/org/baygw/control/workers/TaskFailures.java
+++ b/src/main/java/org/baygw/control/workers/TaskFailures.java
@@ -38,20 +38,21 @@
   }
 
   /** Whether the job's next retry has to wait. */
-  boolean waits(String job) {
+  boolean inBackoff(String job) {
     Backoff backoff = backoffs.get(job);
     return backoff != null && clock.now() < backoff.until;
   }
 
   /** Whether the job failed on the machine and must not be retried there yet. */
-  boolean avoids(String job, String machine) {
+  boolean avoidsMachine(String job, String machine) {
     Backoff backoff = backoffs.get(job);
     return backoff != null && backoff.machines.getOrDefault(machine, 0L) > clock.now();
   }
 
   /** Records how a task ended on a machine. */
-  void learn(Partition partition, WorkerSession worker, TaskId task, TerminationEvidence.End end) {
-    WorkerCodec.Seen seen = worker.seen.get(task);
+  void taskEnded(
+      Partition partition, WorkerSession worker, TaskId task, TerminationEvidence.End end) {
+    WorkerCodec.ReportedTask seen = worker.reported.get(task);
     if (end == TerminationEvidence.End.DONE) {
       if (!worker.failures.isEmpty()) {
         replication.completed(partition, worker.name);
--- a/src/main/java/org/baygw/control/workers/TerminationEvidence.java
+++ b/src/main/java/org/baygw/control/workers/TerminationEvidence.java
@@ -18,7 +18,7 @@
   /** How a task left its machine. */
   enum End {
     DONE,
-    BACK
+    NOT_DONE
   }
 
   private final Clock clock;
@@ -39,16 +39,16 @@
    * Marks a worker's lease as expired once its session must have ended with all its tasks; returns
    * true if it was marked now.
    */
-  boolean lease(WorkerSession a) {
-    if (a.trusted()
+  boolean expireLease(WorkerSession a) {
+    if (a.claimConfirmed()
         && clock.now() > a.lastAnswered + leaseMs + Constants.LEASE_MARGIN_MS
-        && !a.leaseOver) {
+        && !a.leaseExpired) {
       // The worker has seen this claim's token, so that only this controller's responses renew its
       // lease, and the last of them is too old: the worker has ended its session and all tasks with
       // it. Direct launches need the old session.
-      a.leaseOver = true;
-      a.flights.clear();
-      a.seen = new LinkedHashMap<>();
+      a.leaseExpired = true;
+      a.pendingLaunches.clear();
+      a.reported = new LinkedHashMap<>();
       a.session++;
       a.tick = -1;
       return true;
@@ -57,10 +57,10 @@
   }
 
   /** The recorded tasks of a machine that are proved to have left it. */
-  Map<TaskId, End> ends(WorkerSession a, Machine m) {
+  Map<TaskId, End> endedTasks(WorkerSession a, Machine m) {
     Map<TaskId, End> ends = null;
     for (Map.Entry<TaskId, Integer> t : m.tasks().entrySet()) {
-      End end = end(a, m, t.getKey(), t.getValue());
+      End end = endOf(a, m, t.getKey(), t.getValue());
       if (end != null) {
         ends = ends == null ? new LinkedHashMap<>() : ends;
         ends.put(t.getKey(), end);
@@ -70,31 +70,31 @@
   }
 
   /** How a recorded task left the machine; null if that is not proved. */
-  End end(WorkerSession a, Machine m, TaskId t, int attempt) {
+  End endOf(WorkerSession a, Machine m, TaskId t, int attempt) {
     if (view.drains.get(m.name()) == StateCache.Drain.GONE) {
-      return End.BACK; // the cloud has taken the machine back with all its tasks
+      return End.NOT_DONE; // the cloud has taken the machine back with all its tasks
     }
-    WorkerCodec.Seen s = a.seen.get(t);
+    WorkerCodec.ReportedTask s = a.reported.get(t);
     if (s != null && s.attempt() == attempt) {
       if (s.state() != WorkerCodec.State.ENDED) {
         return null;
       }
-      return s.cause() == WorkerCodec.Cause.DONE ? End.DONE : End.BACK;
+      return s.cause() == WorkerCodec.Cause.DONE ? End.DONE : End.NOT_DONE;
     }
     boolean absent =
-        a.trusted()
+        a.claimConfirmed()
             && (s == null || s.state() == WorkerCodec.State.ENDED)
-            && !a.flights.containsKey(t);
+            && !a.pendingLaunches.containsKey(t);
     // A hung machine keeps its tasks after its lease has expired. A task of a cancelled job
     // therefore stays on record until the machine is heard or returned, or the next owner would not
     // know of it.
-    return absent && (a.leaseOver ? !view.cancelled(t.job()) : !wanted(t, attempt, m))
-        ? End.BACK
+    return absent && (a.leaseExpired ? !view.cancelled(t.job()) : !shouldRun(t, attempt, m))
+        ? End.NOT_DONE
         : null;
   }
 
   /** Whether the task should keep running on the machine under this attempt. */
-  boolean wanted(TaskId t, int attempt, Machine m) {
+  boolean shouldRun(TaskId t, int attempt, Machine m) {
     if (!view.runs(t.job())) {
       return false;
     }
--- a/src/main/java/org/baygw/control/workers/WorkerCodec.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCodec.java
@@ -28,7 +28,7 @@
   }
 
   /** A task in a report. */
-  record Seen(int attempt, State state, Cause cause) {}
+  record ReportedTask(int attempt, State state, Cause cause) {}
 
   /** A worker's report. */
   record Report(
@@ -41,7 +41,7 @@
       long tick,
       long token,
       Double noticeS,
-      Map<TaskId, Seen> tasks) {}
+      Map<TaskId, ReportedTask> tasks) {}
 
   /** What an order tells a worker to do with a task. */
   enum Verb {
@@ -64,7 +64,7 @@
         || !n.path("tick").isNumber()) {
       return null;
     }
-    Map<TaskId, Seen> tasks = new LinkedHashMap<>();
+    Map<TaskId, ReportedTask> tasks = new LinkedHashMap<>();
     for (JsonNode t : n.path("chores")) {
       TaskId id = TaskId.parse(t.path("chore").asText(""));
       State state =
@@ -84,7 +84,7 @@
                 default -> Cause.ERROR;
               };
       if (id != null) {
-        Seen seen = new Seen(t.path("try").asInt(), state, cause);
+        ReportedTask seen = new ReportedTask(t.path("try").asInt(), state, cause);
         // A refused second attempt may be listed with the first: the one that has not ended counts.
         tasks.merge(id, seen, (a, b) -> b.state() == State.ENDED ? a : b);
       }
@@ -120,11 +120,11 @@
     return n;
   }
 
-  static ObjectNode direct(long token, long session, List<Order> orders) {
+  static ObjectNode directOrders(long token, long session, List<Order> orders) {
     return response(token, orders).put("stint", session);
   }
 
-  static ObjectNode home(String label) {
+  static ObjectNode redirect(String label) {
     ObjectNode n = Json.object();
     if (label != null) {
       n.put("home", label);
--- a/src/main/java/org/baygw/control/workers/WorkerCommands.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCommands.java
@@ -23,8 +23,8 @@
  */
 final class WorkerCommands {
   /** Handles a report that came as the answer to a call of this controller. */
-  interface Heard {
-    void heard(WorkerSession a, byte[] body);
+  interface ReportHandler {
+    void handle(WorkerSession a, byte[] body);
   }
 
   private final Clock clock;
@@ -36,11 +36,11 @@
   private final ConsolidationRound rounds;
   private final CancellationWatermark watermark;
   private final Replication replication;
-  private final Heard heard;
+  private final ReportHandler reportHandler;
   private long stalledAt;
 
   /** Token announcements that may still be sent in this tick. */
-  private int introductions;
+  private int announcementsLeft;
 
   private final Histogram launchMs =
       new Histogram(Constants.HISTOGRAM_MAX_MS, Constants.HISTOGRAM_DIGITS);
@@ -55,7 +55,7 @@
       ConsolidationRound rounds,
       CancellationWatermark watermark,
       Replication replication,
-      Heard heard) {
+      ReportHandler heard) {
     this.replication = replication;
     this.clock = clock;
     this.out = out;
@@ -65,7 +65,7 @@
     this.placer = placer;
     this.rounds = rounds;
     this.watermark = watermark;
-    this.heard = heard;
+    this.reportHandler = heard;
   }
 
   Histogram launchMs() {
@@ -74,12 +74,12 @@
 
   boolean silent(WorkerSession a) {
     double reports = Constants.LOST_REPORTS * settings.workers().reportS() * 1000;
-    return a.deaf() || a.unanswered && clock.now() - heardAt(a) > reports;
+    return a.missesResponses() || a.probeUnanswered && clock.now() - lastHeardAt(a) > reports;
   }
 
   /** Called at the start of a tick. */
-  void step() {
-    introductions = Constants.TOKEN_ANNOUNCEMENTS_PER_STEP;
+  void beginStep() {
+    announcementsLeft = Constants.TOKEN_ANNOUNCEMENTS_PER_STEP;
   }
 
   /**
@@ -89,33 +89,33 @@
     stalledAt = clock.now();
   }
 
-  private long heardAt(WorkerSession a) {
-    return Math.max(stalledAt, Math.max(a.lastHeard, a.since));
+  private long lastHeardAt(WorkerSession a) {
+    return Math.max(stalledAt, Math.max(a.lastHeard, a.createdAt));
   }
 
   /**
    * Probes a worker that is silent or has not seen this claim's token: after a takeover it may wait
    * seconds for its former owner, and until it has seen the token none of its reports is proof.
    */
-  void ask(WorkerSession a) {
+  void probe(WorkerSession a) {
     long now = clock.now();
-    if (a.expectedSession > 0 && introduce(a)) {
+    if (a.expectedSession > 0 && announceToken(a)) {
       return;
     }
     boolean quiet =
-        now - heardAt(a) > Constants.PROBE_AFTER_REPORTS * settings.workers().reportS() * 1000;
-    if (a.asking
-        || a.directBusy
+        now - lastHeardAt(a) > Constants.PROBE_AFTER_REPORTS * settings.workers().reportS() * 1000;
+    if (a.probing
+        || a.directCallInProgress
         || a.addr.isEmpty()
-        || now < a.nextAsk
+        || now < a.nextProbe
         || !quiet
-            && (a.trusted()
+            && (a.claimConfirmed()
                 || a.lastHeard > 0
-                || now - a.since < Constants.PROBE_AFTER_TAKEOVER_MS)) {
+                || now - a.createdAt < Constants.PROBE_AFTER_TAKEOVER_MS)) {
       return;
     }
-    a.asking = true;
-    a.nextAsk =
+    a.probing = true;
+    a.nextProbe =
         now + (long) (settings.workers().reportS() * 1000 * Constants.PROBE_INTERVAL_REPORTS);
     out.call(
         a.addr,
@@ -124,14 +124,14 @@
         null,
         Constants.PROBE_TIMEOUT_MS,
         (status, body) -> {
-          a.asking = false;
+          a.probing = false;
           if (status != 200) {
-            a.unanswered = true;
+            a.probeUnanswered = true;
             return;
           }
-          heard.heard(a, body);
-          if (!a.trusted() && a.session > 0) {
-            direct(a, a.session, List.of());
+          reportHandler.handle(a, body);
+          if (!a.claimConfirmed() && a.session > 0) {
+            sendDirect(a, a.session, List.of());
           }
         });
   }
@@ -142,58 +142,63 @@
    * announcement was sent or has to wait for a later tick; false if the worker has been heard
    * already or cannot be called now.
    */
-  private boolean introduce(WorkerSession a) {
-    if (a.lastHeard > 0 || a.directBusy || a.addr.isEmpty()) {
+  private boolean announceToken(WorkerSession a) {
+    if (a.lastHeard > 0 || a.directCallInProgress || a.addr.isEmpty()) {
       a.expectedSession = 0;
       return false;
     }
-    if (introductions == 0) {
+    if (announcementsLeft == 0) {
       return true;
     }
-    introductions--;
+    announcementsLeft--;
     long session = a.expectedSession;
     a.expectedSession = 0;
-    a.introducing = true;
-    direct(a, session, List.of());
+    a.announcingToken = true;
+    sendDirect(a, session, List.of());
     return true;
   }
 
   /** The orders that go with the response to a report. */
-  List<WorkerCodec.Order> reply(WorkerSession a, Machine m, PartitionWriter l, long tick) {
-    List<WorkerCodec.Order> orders = orders(a, m, l, true);
+  List<WorkerCodec.Order> ordersForReport(
+      WorkerSession a, Machine m, PartitionWriter l, long tick) {
+    List<WorkerCodec.Order> orders = dueOrders(a, m, l, true);
     for (WorkerCodec.Order o : orders) {
       if (o.verb() == WorkerCodec.Verb.LAUNCH) {
-        a.flight(o.task()).replyTick = tick;
-        launched(a, o.task());
+        a.pendingLaunch(o.task()).replyTick = tick;
+        recordLaunch(a, o.task());
       }
     }
     return orders;
   }
 
   /** Sends orders that should not wait for the next report. */
-  void urgent(WorkerSession a, Machine m, PartitionWriter l) {
-    if (a.directBusy || a.addr.isEmpty() || !a.trusted() || a.leaseOver || !placer.heardLately(a)) {
+  void sendUrgent(WorkerSession a, Machine m, PartitionWriter l) {
+    if (a.directCallInProgress
+        || a.addr.isEmpty()
+        || !a.claimConfirmed()
+        || a.leaseExpired
+        || !placer.recentlyHeard(a)) {
       return;
     }
-    List<WorkerCodec.Order> orders = orders(a, m, l, false);
+    List<WorkerCodec.Order> orders = dueOrders(a, m, l, false);
     if (!orders.isEmpty()) {
-      direct(a, a.session, orders);
+      sendDirect(a, a.session, orders);
     }
   }
 
   /** The orders for a worker according to its last report and the record. */
-  private List<WorkerCodec.Order> orders(
+  private List<WorkerCodec.Order> dueOrders(
       WorkerSession a, Machine m, PartitionWriter l, boolean reply) {
     List<WorkerCodec.Order> orders = new ArrayList<>();
     List<WorkerCodec.Order> completed = new ArrayList<>();
-    for (Map.Entry<TaskId, WorkerCodec.Seen> t : a.seen.entrySet()) {
-      WorkerCodec.Seen s = t.getValue();
+    for (Map.Entry<TaskId, WorkerCodec.ReportedTask> t : a.reported.entrySet()) {
+      WorkerCodec.ReportedTask s = t.getValue();
       Integer recorded = m.tasks().get(t.getKey());
       boolean ours = recorded != null && recorded == s.attempt();
       if (s.state() == WorkerCodec.State.ENDED) {
         // A worker may forget an ended task only once its end is durable: until then the report is
         // the only record of it.
-        if (reply && !ours && !l.moving(t.getKey())) {
+        if (reply && !ours && !l.inWrite(t.getKey())) {
           // A task that did not complete may be placed here again, and the worker would refuse it
           // until it has forgotten this attempt.
           boolean soon = s.cause() != WorkerCodec.Cause.DONE;
@@ -202,12 +207,12 @@
         }
         continue;
       }
-      Double grace = grace(a, t.getKey(), s, m, ours, l);
-      Long before = a.killed.get(t.getKey());
+      Double grace = stopGraceS(a, t.getKey(), s, m, ours, l);
+      Long before = a.killSentAt.get(t.getKey());
       if (grace != null
           && (before == null
               || clock.now() - before > settings.workers().reportS() * 1000 && grace == 0)) {
-        a.killed.put(t.getKey(), clock.now());
+        a.killSentAt.put(t.getKey(), clock.now());
         orders.add(new WorkerCodec.Order(WorkerCodec.Verb.KILL, t.getKey(), s.attempt(), grace));
       }
     }
@@ -218,20 +223,20 @@
     // and a worker with a new session, whose tasks ended with its lease, must not be given them
     // again by the record.
     if (!watermark.recent()
-        || !a.trusted()
-        || a.leaseOver
-        || a.deaf()
+        || !a.claimConfirmed()
+        || a.leaseExpired
+        || a.missesResponses()
         || view.drains.containsKey(m.name())) {
       return orders;
     }
     for (Map.Entry<TaskId, Integer> t : m.tasks().entrySet()) {
-      if (a.seen.containsKey(t.getKey())) {
+      if (a.reported.containsKey(t.getKey())) {
         continue;
       }
-      WorkerSession.Flight f = a.flights.get(t.getKey());
-      boolean open = f == null || reply && f.replyTick == 0 && !a.directBusy;
+      WorkerSession.PendingLaunch f = a.pendingLaunches.get(t.getKey());
+      boolean open = f == null || reply && f.replyTick == 0 && !a.directCallInProgress;
       // A task that a write in progress removes from the machine must not be launched there again.
-      if (open && !l.moving(t.getKey()) && evidence.wanted(t.getKey(), t.getValue(), m)) {
+      if (open && !l.inWrite(t.getKey()) && evidence.shouldRun(t.getKey(), t.getValue(), m)) {
         orders.add(new WorkerCodec.Order(WorkerCodec.Verb.LAUNCH, t.getKey(), t.getValue(), 0));
       }
     }
@@ -239,15 +244,20 @@
   }
 
   /** Seconds that a task gets to save if it is to be stopped; null if it should keep running. */
-  private Double grace(
-      WorkerSession a, TaskId t, WorkerCodec.Seen s, Machine m, boolean ours, PartitionWriter l) {
+  private Double stopGraceS(
+      WorkerSession a,
+      TaskId t,
+      WorkerCodec.ReportedTask s,
+      Machine m,
+      boolean ours,
+      PartitionWriter l) {
     StateCache.Entry<Job> j = view.jobs.get(t.job());
     boolean runs = view.runs(t.job());
     if (!ours || !runs) {
-      return l.moving(t) && runs ? null : Double.valueOf(0);
+      return l.inWrite(t) && runs ? null : Double.valueOf(0);
     }
     JobSpec spec = j.value().spec();
-    if (!evidence.wanted(t, s.attempt(), m)) {
+    if (!evidence.shouldRun(t, s.attempt(), m)) {
       return spec.checkpoints() ? spec.graceS() : 0;
     }
     if (s.state() == WorkerCodec.State.RUNNING && rounds.target(t, m.name()) != null) {
@@ -260,69 +270,73 @@
     if (leaving && spec.checkpoints() && s.state() != WorkerCodec.State.SAVING) {
       return spec.graceS(); // save before the machine is taken
     }
-    if (a.noticeUntil > 0 && !spec.checkpoints() && !spec.service() && tooLate(a, t, spec)) {
+    if (a.noticeUntil > 0 && !spec.checkpoints() && !spec.service() && outlastsNotice(a, t, spec)) {
       return 0.0; // the task would be lost later with the machine: restart it elsewhere now
     }
     return null;
   }
 
   /** Whether a task is not expected to end before its machine is taken. */
-  private boolean tooLate(WorkerSession a, TaskId t, JobSpec spec) {
-    Long since = a.launched.get(t);
+  private boolean outlastsNotice(WorkerSession a, TaskId t, JobSpec spec) {
+    Long since = a.launchedAt.get(t);
     double left = (a.noticeUntil - clock.now()) / 1000.0;
     double run = since == null ? 0 : (clock.now() - since) / 1000.0;
     return spec.estimateS() - run > left * Constants.NOTICE_SLACK;
   }
 
-  private void direct(WorkerSession a, long session, List<WorkerCodec.Order> orders) {
+  private void sendDirect(WorkerSession a, long session, List<WorkerCodec.Order> orders) {
     long token = a.token();
     List<TaskId> launches = new ArrayList<>();
     for (WorkerCodec.Order o : orders) {
       if (o.verb() == WorkerCodec.Verb.LAUNCH) {
-        a.flight(o.task()).directToken = token;
+        a.pendingLaunch(o.task()).directToken = token;
         launches.add(o.task());
       }
     }
-    a.directBusy = true;
+    a.directCallInProgress = true;
     out.orders(
         a.addr,
         "/orders",
-        Json.bytes(WorkerCodec.direct(token, session, orders)),
+        Json.bytes(WorkerCodec.directOrders(token, session, orders)),
         Constants.ORDERS_TIMEOUT_MS,
-        (status, body) -> answered(a, launches, status, body));
+        (status, body) -> directAnswered(a, launches, status, body));
   }
 
-  private void answered(WorkerSession a, List<TaskId> launches, int status, byte[] body) {
-    a.directBusy = false;
-    boolean introduced = a.introducing;
-    a.introducing = false;
+  private void directAnswered(WorkerSession a, List<TaskId> launches, int status, byte[] body) {
+    a.directCallInProgress = false;
+    boolean introduced = a.announcingToken;
+    a.announcingToken = false;
     boolean certain = status == 200 || status == 409 || status == 400 || status == Outbox.NOT_SENT;
     if (certain) {
       for (TaskId t : launches) {
-        WorkerSession.Flight f = a.flights.get(t);
-        launched(a, t);
+        WorkerSession.PendingLaunch f = a.pendingLaunches.get(t);
+        recordLaunch(a, t);
         if (f != null) {
           f.directToken = 0;
-          if (f.over()) {
-            a.flights.remove(t);
+          if (f.resolved()) {
+            a.pendingLaunches.remove(t);
           }
         }
       }
     } else {
       // The worker may carry out the call minutes later, unless it has seen a higher token by then.
-      a.raises++;
+      a.tokenIncrements++;
     }
     if (status == 200 || status == 409) {
-      heard.heard(a, body);
+      reportHandler.handle(a, body);
     }
-    if (introduced && status == 409 && !a.trusted() && a.session > 0 && !a.directBusy) {
-      direct(a, a.session, List.of()); // the former owner knew another session
+    if (introduced
+        && status == 409
+        && !a.claimConfirmed()
+        && a.session > 0
+        && !a.directCallInProgress) {
+      sendDirect(a, a.session, List.of()); // the former owner knew another session
     }
   }
 
-  private void launched(WorkerSession a, TaskId t) {
+  private void recordLaunch(WorkerSession a, TaskId t) {
     StateCache.Entry<Job> j = view.jobs.get(t.job());
-    boolean first = a.launched.put(t, clock.now()) == null;
+    boolean first = a.launchedAt.put(t, clock.now()) == null;
     StateCache.Entry<Machine> machine = view.machines.get(a.name);
     if (first && machine != null) {
       replication.launched(machine.value().part(), a.name, t);
--- a/src/main/java/org/baygw/control/workers/WorkerReachability.java
+++ b/src/main/java/org/baygw/control/workers/WorkerReachability.java
@@ -23,8 +23,8 @@
   private final StateCache view;
   private final Membership membership;
   private long lastHeard;
-  private long nextAsk;
-  private int asked;
+  private long nextProbe;
+  private int probeCount;
 
   WorkerReachability(
       Clock clock, Outbox out, Settings settings, StateCache view, Membership membership) {
@@ -51,13 +51,13 @@
    * Whether one worker's silence is evidence that it is lost: other workers were heard recently, or
    * this controller owns too few to be judged by them.
    */
-  boolean sure() {
+  boolean silenceIsConclusive() {
     return clock.now() - lastHeard <= Constants.CONCLUSIVE_SILENCE_REPORTS * periodMs();
   }
 
   void tick() {
     if (!membership.reaches()) {
-      ask();
+      probeNext();
       return;
     }
     int own = 0;
@@ -77,11 +77,11 @@
     return settings.workers().reportS() * 1000;
   }
 
-  private void ask() {
-    if (clock.now() < nextAsk) {
+  private void probeNext() {
+    if (clock.now() < nextProbe) {
       return;
     }
-    nextAsk = clock.now() + (long) (periodMs() * Constants.PROBE_INTERVAL_REPORTS);
+    nextProbe = clock.now() + (long) (periodMs() * Constants.PROBE_INTERVAL_REPORTS);
     List<String> addrs = new ArrayList<>();
     for (Partition p : membership.partitions()) {
       if (p.zone().equals(settings.zone())) {
@@ -93,7 +93,7 @@
       return;
     }
     out.call(
-        addrs.get(asked++ % addrs.size()),
+        addrs.get(probeCount++ % addrs.size()),
         "GET",
         "/show",
         null,
--- a/src/main/java/org/baygw/control/workers/WorkerSession.java
+++ b/src/main/java/org/baygw/control/workers/WorkerSession.java
@@ -10,22 +10,22 @@
 /** State that a partition's owner keeps of one worker, in memory only and for one claim only. */
 final class WorkerSession {
   /** A launch order that the worker may still carry out. */
-  static final class Flight {
+  static final class PendingLaunch {
     /** Highest token of a direct launch without an answer; 0 if there is none. */
     long directToken;
 
     /** Tick of the report whose response carried the launch; 0 if there is none. */
     long replyTick;
 
-    boolean over() {
+    boolean resolved() {
       return directToken == 0 && replyTick == 0;
     }
   }
 
   final String name;
   final long claim;
-  final long since;
-  int raises;
+  final long createdAt;
+  int tokenIncrements;
   String addr = "";
   long session;
 
@@ -36,23 +36,23 @@
   long expectedSession;
 
   /** A call that announces this claim's token to the worker is in progress. */
-  boolean introducing;
+  boolean announcingToken;
 
   long tick;
-  long seenToken;
+  long reportedToken;
   long lastHeard;
   long lastAnswered;
   long noticeUntil;
-  Map<TaskId, WorkerCodec.Seen> seen = new LinkedHashMap<>();
-  final Map<TaskId, Flight> flights = new HashMap<>();
+  Map<TaskId, WorkerCodec.ReportedTask> reported = new LinkedHashMap<>();
+  final Map<TaskId, PendingLaunch> pendingLaunches = new HashMap<>();
 
   /**
    * Launch times of tasks on the machine, in ms of this controller's clock; tasks without one have
    * no known age.
    */
-  final Map<TaskId, Long> launched = new HashMap<>();
+  final Map<TaskId, Long> launchedAt = new HashMap<>();
 
-  final Map<TaskId, Long> killed = new HashMap<>();
+  final Map<TaskId, Long> killSentAt = new HashMap<>();
 
   /** Number of tasks that failed here since one last completed, by job. */
   final Map<String, Integer> failures = new HashMap<>();
@@ -66,46 +66,46 @@
   Machine.Condition condition;
 
   /** A write of the machine's own record is in progress. */
-  boolean busy;
+  boolean recordWriteInProgress;
 
-  boolean directBusy;
+  boolean directCallInProgress;
 
   /** A probe of the worker is in progress. */
-  boolean asking;
+  boolean probing;
 
   /** A probe has failed since the worker was last heard. */
-  boolean unanswered;
+  boolean probeUnanswered;
 
-  long nextAsk;
-  boolean leaseOver;
+  long nextProbe;
+  boolean leaseExpired;
 
   /** Highest token sent in a response to a report. */
   long answeredToken;
 
   /** Recent signs that responses do not reach the worker. */
-  int unheeded;
+  int missedResponses;
 
-  long lastUnheeded;
+  long lastMissedResponse;
 
   WorkerSession(String name, long claim, long now) {
     this.name = name;
     this.claim = claim;
-    this.since = now;
+    this.createdAt = now;
   }
 
   /**
    * The fencing token for orders: grows with the claim and, within a claim, with every increment.
    */
   long token() {
-    return claim << Constants.TOKEN_BITS | raises;
+    return claim << Constants.TOKEN_BITS | tokenIncrements;
   }
 
   /**
    * Whether the worker has reported a token of this claim, so that it refuses the orders of older
    * claims.
    */
-  boolean trusted() {
-    return seenToken >= claim << Constants.TOKEN_BITS;
+  boolean claimConfirmed() {
+    return reportedToken >= claim << Constants.TOKEN_BITS;
   }
 
   boolean newer(long s, long t) {
@@ -118,41 +118,42 @@
    * although it was answered within a lease. Single responses get lost, so the signs add up only
    * within a few leases, and a report with a higher token resets the count.
    */
-  void heed(WorkerCodec.Report r, long now, long leaseMs) {
+  void countMissedResponses(WorkerCodec.Report r, long now, long leaseMs) {
     boolean ended = session > 0 && r.session() > session && now - lastAnswered < leaseMs;
-    if (r.token() > seenToken || now - lastUnheeded > Constants.MISSED_RESPONSE_LEASES * leaseMs) {
-      unheeded = 0;
+    if (r.token() > reportedToken
+        || now - lastMissedResponse > Constants.MISSED_RESPONSE_LEASES * leaseMs) {
+      missedResponses = 0;
     }
-    if (ended || unanswered || r.token() < answeredToken) {
-      unheeded++;
-      lastUnheeded = now;
+    if (ended || probeUnanswered || r.token() < answeredToken) {
+      missedResponses++;
+      lastMissedResponse = now;
     }
   }
 
-  boolean deaf() {
-    return unheeded >= Constants.MISSED_RESPONSES;
+  boolean missesResponses() {
+    return missedResponses >= Constants.MISSED_RESPONSES;
   }
 
-  Flight flight(TaskId t) {
-    return flights.computeIfAbsent(t, k -> new Flight());
+  PendingLaunch pendingLaunch(TaskId t) {
+    return pendingLaunches.computeIfAbsent(t, k -> new PendingLaunch());
   }
 
   /**
    * Removes the launches that the worker can no longer carry out. Until then a launch stays
    * pending, since it must never take effect late, after the task was placed on another machine.
    */
-  void endFlights(boolean checkin) {
-    flights
+  void clearResolvedLaunches(boolean checkin) {
+    pendingLaunches
         .values()
         .removeIf(
             f -> {
-              if (f.directToken != 0 && seenToken > f.directToken) {
+              if (f.directToken != 0 && reportedToken > f.directToken) {
                 f.directToken = 0; // the worker now refuses that token
               }
               if (checkin && f.replyTick != 0 && tick > f.replyTick) {
                 f.replyTick = 0; // sent after the worker took or dropped the response
               }
-              return f.over();
+              return f.resolved();
             });
   }
 }
--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -51,7 +51,7 @@
   private final Map<Partition, PartitionWriter> writers = new HashMap<>();
 
   /** Machines that the cloud has taken back; a late report must not register one again. */
-  private final Set<String> buried = new HashSet<>();
+  private final Set<String> goneMachines = new HashSet<>();
 
   private final ConsolidationRound rounds = new ConsolidationRound();
   private final TerminationEvidence evidence;
@@ -59,13 +59,13 @@
   private final WorkerCommands commands;
   private final WorkerReachability reachability;
   private final CancellationDeadline deadline;
-  private long nextPass;
-  private long seenChanges = -1;
-  private long nextAll;
+  private long nextCheck;
+  private long checkedChanges = -1;
+  private long nextFullCheck;
   private long lastTick;
 
   /** Sum of the claim stamps of all partitions that this controller owned at the last tick. */
-  private long ownedStamps;
+  private long ownedStampSum;
 
   public Workers(
       Clock clock,
@@ -89,7 +89,7 @@
     this.evidence = new TerminationEvidence(clock, settings, view);
     this.deadline =
         new CancellationDeadline(
-            clock, settings, view, membership, evidence, cloud, watermark, this::owned);
+            clock, settings, view, membership, evidence, cloud, watermark, this::ownedSession);
     this.placer = new FirstFitPlacer(clock, settings, view, sessions, rounds, replication);
     this.commands =
         new WorkerCommands(
@@ -102,7 +102,7 @@
             rounds,
             watermark,
             replication,
-            this::heard);
+            this::acceptPolledReport);
   }
 
   /** Handles a worker's report. */
@@ -122,7 +122,7 @@
     if (!store.loaded() || view.partitionsPerZone() == 0) {
       String likely = membership.likelyOwner(r.machine(), r.zone());
       if (likely != null) {
-        out.answer(request, 421, Json.bytes(WorkerCodec.home(likely)));
+        out.answer(request, 421, Json.bytes(WorkerCodec.redirect(likely)));
       } else {
         out.answer(request, 503, Json.bytes(Json.object().put("error", "state not loaded yet")));
       }
@@ -135,40 +135,40 @@
       String owner = membership.owner(part);
       owner = owner == null ? membership.heir(part) : owner;
       boolean other = owner != null && !owner.equals(settings.label());
-      out.answer(request, 421, Json.bytes(WorkerCodec.home(other ? owner : null)));
+      out.answer(request, 421, Json.bytes(WorkerCodec.redirect(other ? owner : null)));
       return;
     }
     WorkerSession a = session(r.machine(), claim);
     if (r.token() > a.token()) {
       // The worker has seen the token of a newer claim; a 200 response would only keep it reporting
       // here.
-      overtaken(part, a, r);
-      out.answer(request, 421, Json.bytes(WorkerCodec.home(null)));
+      onNewerToken(part, a, r);
+      out.answer(request, 421, Json.bytes(WorkerCodec.redirect(null)));
       return;
     }
     if (!a.newer(r.session(), r.tick())
         || view.drains.get(r.machine()) == StateCache.Drain.GONE
-        || buried.contains(r.machine())) {
+        || goneMachines.contains(r.machine())) {
       out.answer(
           request,
           503,
           Json.bytes(Json.object().put("error", "outdated report or returned machine")));
       return;
     }
-    a.heed(r, clock.now(), evidence.leaseMs());
-    take(a, r, true);
+    a.countMissedResponses(r, clock.now(), evidence.leaseMs());
+    acceptReport(a, r, true);
     StateCache.Entry<Machine> m = view.machines.get(a.name);
     PartitionWriter l = writer(part, claim);
     if (m == null) {
       register(a, r);
     } else {
-      settle(a, m.value(), l);
+      markIfChanged(a, m.value(), l);
     }
     if (!watermark.recent()) {
       // A 200 response would renew the worker's lease, also for tasks whose cancellation this
       // controller may not know of. Tasks known to be cancelled are still stopped directly.
       if (m != null) {
-        commands.urgent(a, m.value(), l);
+        commands.sendUrgent(a, m.value(), l);
       }
       out.answer(
           request,
@@ -177,9 +177,9 @@
       return;
     }
     List<WorkerCodec.Order> orders =
-        m == null ? List.of() : commands.reply(a, m.value(), l, r.tick());
+        m == null ? List.of() : commands.ordersForReport(a, m.value(), l, r.tick());
     a.lastAnswered = clock.now();
-    a.leaseOver = false;
+    a.leaseExpired = false;
     a.answeredToken = a.token();
     out.answerOrders(request, Json.bytes(WorkerCodec.response(a.token(), orders)));
   }
@@ -196,19 +196,19 @@
     }
     lastTick = now;
     reachability.tick();
-    commands.step();
-    boolean whole = now >= nextPass || ownershipChanged();
-    if (whole || view.changes() != seenChanges) {
-      seenChanges = view.changes();
-      view.takeChangedMachines().forEach(m -> lookAt(m, true));
+    commands.beginStep();
+    boolean whole = now >= nextCheck || ownershipChanged();
+    if (whole || view.changes() != checkedChanges) {
+      checkedChanges = view.changes();
+      view.takeChangedMachines().forEach(m -> checkMachine(m, true));
       if (whole) {
-        nextPass = now + Constants.MACHINE_CHECK_MS;
-        boolean all = now >= nextAll;
-        nextAll = all ? now + Constants.MACHINE_FULL_CHECK_MS : nextAll;
-        sessions.values().removeIf(a -> !a.busy && !owns(a));
+        nextCheck = now + Constants.MACHINE_CHECK_MS;
+        boolean all = now >= nextFullCheck;
+        nextFullCheck = all ? now + Constants.MACHINE_FULL_CHECK_MS : nextFullCheck;
+        sessions.values().removeIf(a -> !a.recordWriteInProgress && !owns(a));
         for (Partition p : membership.partitions()) {
           if (membership.owned(p) != 0) {
-            List.copyOf(view.machinesOf(p)).forEach(m -> lookAt(m, all));
+            List.copyOf(view.machinesOf(p)).forEach(m -> checkMachine(m, all));
           }
         }
       }
@@ -219,7 +219,7 @@
       if (claim == 0) {
         writers.remove(p);
       } else {
-        writer(p, claim).pump();
+        writer(p, claim).writeIfDue();
       }
     }
   }
@@ -233,12 +233,12 @@
     for (Partition partition : membership.partitions()) {
       sum += membership.owned(partition);
     }
-    boolean changed = sum != ownedStamps;
-    ownedStamps = sum;
+    boolean changed = sum != ownedStampSum;
+    ownedStampSum = sum;
     return changed;
   }
 
-  private void lookAt(String name, boolean all) {
+  private void checkMachine(String name, boolean all) {
     StateCache.Entry<Machine> e = view.machines.get(name);
     long claim = e == null ? 0 : membership.owned(e.value().part());
     if (claim == 0) {
@@ -251,7 +251,7 @@
     }
     PartitionWriter l = writer(m.part(), claim);
     if (view.drains.get(name) == StateCache.Drain.GONE) {
-      if (buried.add(name)) {
+      if (goneMachines.add(name)) {
         replication.gone(m.part(), name);
       }
       l.dirty(name);
@@ -259,12 +259,12 @@
     }
     // Probe the worker even while its record cannot be written: a network partition may end during
     // an outage of the state service, and the machine must not count as silent afterwards.
-    commands.ask(a);
-    if (evidence.lease(a) || all) {
-      settle(a, m, l);
-      commands.urgent(a, m, l);
+    commands.probe(a);
+    if (evidence.expireLease(a) || all) {
+      markIfChanged(a, m, l);
+      commands.sendUrgent(a, m, l);
     } else if (condition(a, m) != m.condition()) {
-      settle(a, m, l);
+      markIfChanged(a, m, l);
     }
   }
 
@@ -277,7 +277,9 @@
       // If no other worker was heard recently, this one's silence proves nothing and its recorded
       // condition stays. A machine recorded as SILENT stays so until its worker is heard, or the
       // leader would restart its count of the silence again and again.
-      return a.deaf() || reachability.sure() ? Machine.Condition.SILENT : m.condition();
+      return a.missesResponses() || reachability.silenceIsConclusive()
+          ? Machine.Condition.SILENT
+          : m.condition();
     } else if (a.noticeUntil > 0 || view.cordons.contains(m.name())) {
       return Machine.Condition.LEAVING;
     }
@@ -288,9 +290,9 @@
    * Marks the machine for the next write if tasks on it are proved to have ended or its condition
    * has changed.
    */
-  private void settle(WorkerSession a, Machine m, PartitionWriter l) {
+  private void markIfChanged(WorkerSession a, Machine m, PartitionWriter l) {
     a.condition = condition(a, m);
-    if (a.condition != m.condition() || !evidence.ends(a, m).isEmpty()) {
+    if (a.condition != m.condition() || !evidence.endedTasks(a, m).isEmpty()) {
       l.dirty(m.name());
     }
   }
@@ -317,12 +319,12 @@
             view,
             view.params,
             this::candidates,
-            this::pending,
+            this::pendingTasks,
             this::ageS,
             this::pinned,
             (machine, image) -> view.machines.get(machine).value().images().contains(image));
     if (!placed.isEmpty()) {
-      placer.choose(placed);
+      placer.preferMachines(placed);
     }
   }
 
@@ -331,7 +333,7 @@
     for (Partition p : membership.partitions()) {
       long claim = membership.owned(p);
       if (claim != 0) {
-        found.addAll(placer.rooms(p, claim));
+        found.addAll(placer.capacities(p, claim));
       }
     }
     return found;
@@ -341,13 +343,13 @@
    * Tasks granted to this controller's partitions that are on no machine and in no write in
    * progress.
    */
-  private Map<TaskId, Partition> pending() {
+  private Map<TaskId, Partition> pendingTasks() {
     Map<TaskId, Partition> found = new LinkedHashMap<>();
     for (Partition p : membership.partitions()) {
       long claim = membership.owned(p);
       if (claim != 0) {
         PartitionWriter l = writer(p, claim);
-        view.unplaced(p).stream().filter(t -> !l.moving(t)).forEach(t -> found.put(t, p));
+        view.unplaced(p).stream().filter(t -> !l.inWrite(t)).forEach(t -> found.put(t, p));
       }
     }
     return found;
@@ -362,23 +364,23 @@
     if (view.jobs.get(t.job()).value().spec().service()) {
       return 0;
     }
-    Long at = sessions.get(machine).launched.get(t);
+    Long at = sessions.get(machine).launchedAt.get(t);
     return at == null ? Double.POSITIVE_INFINITY : (clock.now() - at) / 1000.0;
   }
 
   private boolean pinned(String machine, TaskId t) {
-    WorkerCodec.Seen s = sessions.get(machine).seen.get(t);
+    WorkerCodec.ReportedTask s = sessions.get(machine).reported.get(t);
     return s == null || s.state() != WorkerCodec.State.RUNNING;
   }
 
   private boolean owns(WorkerSession a) {
     StateCache.Entry<Machine> m = view.machines.get(a.name);
     return m != null && membership.owned(m.value().part()) == a.claim
-        || clock.now() - a.since < Constants.UNREGISTERED_MS && m == null;
+        || clock.now() - a.createdAt < Constants.UNREGISTERED_MS && m == null;
   }
 
   /** The session of the machine's worker; null if this controller does not own the machine. */
-  private WorkerSession owned(Machine m) {
+  private WorkerSession ownedSession(Machine m) {
     long claim = membership.owned(m.part());
     return claim == 0 ? null : session(m.name(), claim);
   }
@@ -407,7 +409,7 @@
     }
     a.addr = known.address();
     a.expectedSession = known.session();
-    known.launchedAgoMs().forEach((task, ago) -> a.launched.put(task, clock.now() - ago));
+    known.launchedAgoMs().forEach((task, ago) -> a.launchedAt.put(task, clock.now() - ago));
     a.failures.putAll(known.failures());
     a.sick = known.sick();
   }
@@ -417,7 +419,16 @@
     if (l == null || l.claim != claim) {
       l =
           new PartitionWriter(
-              p, claim, clock, settings, store, view, evidence, placer, rounds, new Ground(claim));
+              p,
+              claim,
+              clock,
+              settings,
+              store,
+              view,
+              evidence,
+              placer,
+              rounds,
+              new WriterContext(claim));
       writers.put(p, l);
     }
     return l;
@@ -426,10 +437,10 @@
   /**
    * Gives the writer of a partition access to worker sessions and other writers, under its claim.
    */
-  private final class Ground implements PartitionWriter.Owner {
+  private final class WriterContext implements PartitionWriter.Context {
     private final long claim;
 
-    Ground(long claim) {
+    WriterContext(long claim) {
       this.claim = claim;
     }
 
@@ -446,11 +457,11 @@
 
     @Override
     public void placed(Set<String> machines) {
-      machines.forEach(m -> lookAt(m, true));
+      machines.forEach(m -> checkMachine(m, true));
     }
   }
 
-  private void overtaken(Partition part, WorkerSession a, WorkerCodec.Report r) {
+  private void onNewerToken(Partition part, WorkerSession a, WorkerCodec.Report r) {
     if (r.token() >> Constants.TOKEN_BITS > a.claim) {
       membership.overtaken(part, a.claim);
     }
@@ -462,36 +473,36 @@
   }
 
   /** Applies a report, whether the worker sent it by itself or as the answer to a call. */
-  private void take(WorkerSession a, WorkerCodec.Report r, boolean checkin) {
+  private void acceptReport(WorkerSession a, WorkerCodec.Report r, boolean checkin) {
     boolean moved = r.session() != a.session || !r.addr().equals(a.addr);
     if (r.session() > a.session) {
-      a.flights.clear(); // the worker refuses orders for an earlier session
-      a.killed.clear();
+      a.pendingLaunches.clear(); // the worker refuses orders for an earlier session
+      a.killSentAt.clear();
       // A new session has its full lease from its start, even if none of its reports is answered:
       // tasks launched directly in it live that long.
       a.lastAnswered = clock.now();
     }
-    boolean trustedBefore = a.trusted();
+    boolean trustedBefore = a.claimConfirmed();
     a.session = r.session();
     a.tick = r.tick();
-    a.seenToken = Math.max(a.seenToken, r.token());
+    a.reportedToken = Math.max(a.reportedToken, r.token());
     a.addr = r.addr();
-    a.seen = r.tasks();
+    a.reported = r.tasks();
     a.lastHeard = clock.now();
     reachability.heard(r.zone());
-    a.unanswered = false;
-    if (a.trusted() && !trustedBefore) {
+    a.probeUnanswered = false;
+    if (a.claimConfirmed() && !trustedBefore) {
       a.lastAnswered = clock.now(); // a former owner may have renewed the lease until now
     }
     a.noticeUntil = r.noticeS() == null ? 0 : clock.now() + (long) (r.noticeS() * 1000);
-    a.endFlights(checkin);
-    a.killed.keySet().retainAll(r.tasks().keySet());
+    a.clearResolvedLaunches(checkin);
+    a.killSentAt.keySet().retainAll(r.tasks().keySet());
     if (moved) {
       replication.sessionKnown(partitionOf(r), a.name, a.addr, a.session);
     }
-    for (Iterator<TaskId> it = a.launched.keySet().iterator(); it.hasNext(); ) {
+    for (Iterator<TaskId> it = a.launchedAt.keySet().iterator(); it.hasNext(); ) {
       TaskId task = it.next();
-      if (!r.tasks().containsKey(task) && !a.flights.containsKey(task)) {
+      if (!r.tasks().containsKey(task) && !a.pendingLaunches.containsKey(task)) {
         it.remove();
         replication.ended(partitionOf(r), a.name, task);
       }
@@ -504,7 +515,7 @@
    * since.
    */
   private void register(WorkerSession a, WorkerCodec.Report r) {
-    if (a.busy || !a.trusted()) {
+    if (a.recordWriteInProgress || !a.claimConfirmed()) {
       return;
     }
     Partition part = partitionOf(r);
@@ -519,7 +530,7 @@
             Map.of(),
             List.of(),
             part);
-    a.busy = true;
+    a.recordWriteInProgress = true;
     store.settle(
         Store.Urgency.LAUNCH,
         new Txn()
@@ -527,26 +538,26 @@
             .when(Keys.claim(part.toString()), a.claim)
             .put(Keys.machine(m.name()), Records.machine(m)),
         Constants.STATE_TIMEOUT_MS,
-        ok -> a.busy = false);
+        ok -> a.recordWriteInProgress = false);
   }
 
   /** Handles a report that a worker sent as the answer to a call of this controller. */
-  private void heard(WorkerSession a, byte[] body) {
+  private void acceptPolledReport(WorkerSession a, byte[] body) {
     WorkerCodec.Report r = WorkerCodec.decode(Json.parse(body));
     if (r == null || !r.machine().equals(a.name) || sessions.get(a.name) != a) {
       return;
     }
     if (r.token() > a.token()) {
-      overtaken(partitionOf(r), a, r);
-    } else if (a.newer(r.session(), r.tick()) && !a.leaseOver) {
-      a.unheeded = 0; // the worker answered, so messages reach it
-      take(a, r, false);
+      onNewerToken(partitionOf(r), a, r);
+    } else if (a.newer(r.session(), r.tick()) && !a.leaseExpired) {
+      a.missedResponses = 0; // the worker answered, so messages reach it
+      acceptReport(a, r, false);
       StateCache.Entry<Machine> e = view.machines.get(a.name);
       long claim = e == null ? 0 : membership.owned(e.value().part());
       if (claim == a.claim && claim != 0) {
         PartitionWriter l = writer(e.value().part(), claim);
-        settle(a, e.value(), l);
-        commands.urgent(a, e.value(), l);
+        markIfChanged(a, e.value(), l);
+        commands.sendUrgent(a, e.value(), l);
       }
     }
   }
