--- a/src/main/java/org/baygw/control/workers/CancellationDeadline.java
+++ b/src/main/java/org/baygw/control/workers/CancellationDeadline.java
@@ -72,14 +72,14 @@
       TerminationEvidence evidence,
       Cloud cloud,
       CancellationWatermark watermark,
-      Function<Machine, WorkerSession> owned) {
+      Function<Machine, WorkerSession> ownedSession) {
     this.clock = clock;
     this.view = view;
     this.membership = membership;
     this.evidence = evidence;
     this.cloud = cloud;
     this.watermark = watermark;
-    this.ownedSession = owned;
+    this.ownedSession = ownedSession;
     this.cancelMs = (long) (settings.workers().cancelS() * 1000);
     // The wall clock of the cancellation's writer may be off as far as this controller's, in the
     // other direction.
--- a/src/main/java/org/baygw/control/workers/ConsolidationRound.java
+++ b/src/main/java/org/baygw/control/workers/ConsolidationRound.java
@@ -26,12 +26,12 @@
 public final class ConsolidationRound {
   /** Gives the age of a task in seconds; infinite if its launch time is unknown. */
   interface Age {
-    double ageS(String machine, TaskId t);
+    double ageS(String machine, TaskId task);
   }
 
   /** Tells whether a task cannot be moved now, whatever its age. */
   interface Pinned {
-    boolean pinned(String machine, TaskId t);
+    boolean pinned(String machine, TaskId task);
   }
 
   /** Tells whether a machine has an image cached. */
@@ -69,20 +69,21 @@
   }
 
   /** The machine that the task is planned to move to from the given one, or null. */
-  String target(TaskId t, String from) {
-    Move m = moves.get(t);
-    return m != null && m.from().equals(from) ? m.to() : null;
+  String target(TaskId task, String from) {
+    Move move = moves.get(task);
+    return move != null && move.from().equals(from) ? move.to() : null;
   }
 
   /** The tasks that are planned to move to each machine. */
   Map<String, List<TaskId>> incomingTasks() {
-    Map<String, List<TaskId>> out = new HashMap<>();
-    moves.forEach((t, m) -> out.computeIfAbsent(m.to(), k -> new ArrayList<>()).add(t));
-    return out;
+    Map<String, List<TaskId>> byMachine = new HashMap<>();
+    moves.forEach(
+        (task, move) -> byMachine.computeIfAbsent(move.to(), k -> new ArrayList<>()).add(task));
+    return byMachine;
   }
 
-  void dropMove(TaskId t) {
-    moves.remove(t);
+  void dropMove(TaskId task) {
+    moves.remove(task);
   }
 
   /**
@@ -92,7 +93,7 @@
       long now,
       StateCache view,
       SchedulingParameters params,
-      Supplier<List<MachineCapacity>> rooms,
+      Supplier<List<MachineCapacity>> capacities,
       Supplier<Map<TaskId, Partition>> pending,
       Age age,
       Pinned pinned,
@@ -105,7 +106,7 @@
         return Map.of();
       }
       nextRound = now + (long) (params.roundPeriodS() * 1000);
-      startSearch(view, params, rooms.get(), pending.get(), age, pinned, cached);
+      startSearch(view, params, capacities.get(), pending.get(), age, pinned, cached);
       return Map.of();
     }
     if (search.step(Constants.SEARCH_NODES_PER_STEP) || search.nodes() >= params.searchNodes()) {
@@ -117,74 +118,81 @@
   private void startSearch(
       StateCache view,
       SchedulingParameters params,
-      List<MachineCapacity> rooms,
+      List<MachineCapacity> capacities,
       Map<TaskId, Partition> pending,
       Age age,
       Pinned pinned,
       Cached cached) {
-    if (rooms.size() < 2) {
+    if (capacities.size() < 2) {
       return;
     }
     List<BranchAndBound.Host> hosts = new ArrayList<>();
     List<BranchAndBound.Item> items = new ArrayList<>();
     tasks = new ArrayList<>();
-    machines = rooms.stream().map(r -> r.machine().name()).toList();
-    int most = (int) Math.ceil(rooms.size() * params.moveShare());
+    machines = capacities.stream().map(capacity -> capacity.machine().name()).toList();
+    int maxMoves = (int) Math.ceil(capacities.size() * params.moveShare());
     Map<Integer, List<TaskId>> movable =
-        emptiableMachines(view, params, rooms, age, pinned, most * Constants.ROUND_TASKS_PER_MOVE);
-    for (int p = 0; p < rooms.size(); p++) {
-      MachineCapacity r = rooms.get(p);
-      double[] free = {r.freeCpus(), r.freeGpus(), r.freeMemoryGb()};
-      for (TaskId t : movable.getOrDefault(p, List.of())) {
-        JobSpec s = view.jobs.get(t.job()).value().spec();
-        double[] load = {s.cpus(), s.gpus(), s.memoryGb()};
+        emptiableMachines(
+            view, params, capacities, age, pinned, maxMoves * Constants.ROUND_TASKS_PER_MOVE);
+    for (int host = 0; host < capacities.size(); host++) {
+      MachineCapacity capacity = capacities.get(host);
+      double[] free = {capacity.freeCpus(), capacity.freeGpus(), capacity.freeMemoryGb()};
+      for (TaskId task : movable.getOrDefault(host, List.of())) {
+        JobSpec spec = view.jobs.get(task.job()).value().spec();
+        double[] load = {spec.cpus(), spec.gpus(), spec.memoryGb()};
         for (int k = 0; k < load.length; k++) {
           free[k] += load[k];
         }
       }
-      boolean stays = !movable.containsKey(p) && !r.machine().tasks().isEmpty();
+      boolean stays = !movable.containsKey(host) && !capacity.machine().tasks().isEmpty();
       hosts.add(new BranchAndBound.Host(free, stays));
     }
     movable.forEach(
-        (p, list) -> {
-          for (TaskId t : list) {
-            JobSpec s = view.jobs.get(t.job()).value().spec();
-            boolean[] allowed = new boolean[rooms.size()];
-            for (int q = 0; q < allowed.length; q++) {
-              var m = rooms.get(q).machine();
-              allowed[q] =
-                  q == p
-                      || MachineCapacity.allowed(s, m.type(), m.zone(), m.spot())
+        (host, hostTasks) -> {
+          for (TaskId task : hostTasks) {
+            JobSpec spec = view.jobs.get(task.job()).value().spec();
+            boolean[] allowed = new boolean[capacities.size()];
+            for (int target = 0; target < allowed.length; target++) {
+              var machine = capacities.get(target).machine();
+              allowed[target] =
+                  target == host
+                      || MachineCapacity.allowed(
+                              spec, machine.type(), machine.zone(), machine.spot())
                           // A replica is down while its image is fetched.
-                          && (!s.service() || cached.cached(m.name(), s.image()))
-                          && (!s.service() || !rooms.get(q).holds(s.id()))
-                          && (!s.spread() || m.zone().equals(rooms.get(p).machine().zone()));
+                          && (!spec.service() || cached.cached(machine.name(), spec.image()))
+                          && (!spec.service() || !capacities.get(target).holds(spec.id()))
+                          && (!spec.spread()
+                              || machine.zone().equals(capacities.get(host).machine().zone()));
             }
-            double[] load = {s.cpus(), s.gpus(), s.memoryGb()};
-            items.add(new BranchAndBound.Item(load, p, s.service() ? s.id() : null, allowed));
-            tasks.add(t);
+            double[] load = {spec.cpus(), spec.gpus(), spec.memoryGb()};
+            items.add(
+                new BranchAndBound.Item(load, host, spec.service() ? spec.id() : null, allowed));
+            tasks.add(task);
           }
         });
     pending.forEach(
-        (t, part) -> {
-          StateCache.Entry<Job> j = view.jobs.get(t.job());
-          if (j != null && j.value().open()) {
-            JobSpec s = j.value().spec();
-            boolean[] allowed = new boolean[rooms.size()];
-            for (int q = 0; q < allowed.length; q++) {
-              var m = rooms.get(q).machine();
-              allowed[q] =
-                  m.part().equals(part) && MachineCapacity.allowed(s, m.type(), m.zone(), m.spot());
+        (task, part) -> {
+          StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
+          if (jobEntry != null && jobEntry.value().open()) {
+            JobSpec spec = jobEntry.value().spec();
+            boolean[] allowed = new boolean[capacities.size()];
+            for (int target = 0; target < allowed.length; target++) {
+              var machine = capacities.get(target).machine();
+              allowed[target] =
+                  machine.part().equals(part)
+                      && MachineCapacity.allowed(
+                          spec, machine.type(), machine.zone(), machine.spot());
             }
-            double[] load = {s.cpus(), s.gpus(), s.memoryGb()};
-            items.add(new BranchAndBound.Item(load, -1, s.service() ? s.id() : null, allowed));
-            tasks.add(t);
+            double[] load = {spec.cpus(), spec.gpus(), spec.memoryGb()};
+            items.add(
+                new BranchAndBound.Item(load, -1, spec.service() ? spec.id() : null, allowed));
+            tasks.add(task);
           }
         });
-    if (items.isEmpty() || most == 0) {
+    if (items.isEmpty() || maxMoves == 0) {
       return;
     }
-    search = new BranchAndBound(hosts, items, params.alpha(), params.mu(), most);
+    search = new BranchAndBound(hosts, items, params.alpha(), params.mu(), maxMoves);
     costBefore = search.bestCost();
     searchedRounds++;
   }
@@ -198,42 +206,45 @@
   private static Map<Integer, List<TaskId>> emptiableMachines(
       StateCache view,
       SchedulingParameters params,
-      List<MachineCapacity> rooms,
+      List<MachineCapacity> capacities,
       Age age,
       Pinned pinned,
-      int mostTasks) {
-    Map<Integer, List<TaskId>> found = new HashMap<>();
-    for (int p = 0; p < rooms.size(); p++) {
-      String name = rooms.get(p).machine().name();
-      List<TaskId> list = List.copyOf(rooms.get(p).machine().tasks().keySet());
-      if (list.isEmpty() || list.size() >= params.alpha() / params.mu()) {
+      int maxTasks) {
+    Map<Integer, List<TaskId>> candidates = new HashMap<>();
+    for (int host = 0; host < capacities.size(); host++) {
+      String name = capacities.get(host).machine().name();
+      List<TaskId> hostTasks = List.copyOf(capacities.get(host).machine().tasks().keySet());
+      if (hostTasks.isEmpty() || hostTasks.size() >= params.alpha() / params.mu()) {
         continue;
       }
-      boolean all = true;
-      for (TaskId t : list) {
-        StateCache.Entry<Job> j = view.jobs.get(t.job());
-        all &=
-            j != null
-                && !j.value().spec().oneZone()
-                && !pinned.pinned(name, t)
-                && age.ageS(name, t) <= params.ageLimitS();
+      boolean emptiable = true;
+      for (TaskId task : hostTasks) {
+        StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
+        emptiable &=
+            jobEntry != null
+                && !jobEntry.value().spec().oneZone()
+                && !pinned.pinned(name, task)
+                && age.ageS(name, task) <= params.ageLimitS();
       }
-      if (all) {
-        found.put(p, list);
+      if (emptiable) {
+        candidates.put(host, hostTasks);
       }
     }
-    List<Integer> order = new ArrayList<>(found.keySet());
-    order.sort(Comparator.comparing((Integer p) -> found.get(p).size()).thenComparing(p -> p));
-    int sum = 0;
+    List<Integer> order = new ArrayList<>(candidates.keySet());
+    order.sort(
+        Comparator.comparing((Integer host) -> candidates.get(host).size())
+            .thenComparing(host -> host));
+    int taskCount = 0;
     int taken = 0;
-    while (taken < order.size() && sum + found.get(order.get(taken)).size() <= mostTasks) {
-      sum += found.get(order.get(taken++)).size();
+    while (taken < order.size()
+        && taskCount + candidates.get(order.get(taken)).size() <= maxTasks) {
+      taskCount += candidates.get(order.get(taken++)).size();
     }
-    Map<Integer, List<TaskId>> out = new LinkedHashMap<>();
+    Map<Integer, List<TaskId>> chosen = new LinkedHashMap<>();
     for (int i = taken - 1; i >= 0; i--) {
-      out.put(order.get(i), found.get(order.get(i)));
+      chosen.put(order.get(i), candidates.get(order.get(i)));
     }
-    return out;
+    return chosen;
   }
 
   private Map<TaskId, String> finishSearch(long now) {
@@ -241,15 +252,15 @@
     int[] best = search.best();
     if (search.improved()) {
       improvedRounds++;
-      for (int v = 0; v < best.length; v++) {
-        if (search.current(v) < 0 && best[v] >= 0) {
-          placed.put(tasks.get(v), machines.get(best[v]));
-        } else if (best[v] >= 0 && best[v] != search.current(v)) {
+      for (int item = 0; item < best.length; item++) {
+        if (search.current(item) < 0 && best[item] >= 0) {
+          placed.put(tasks.get(item), machines.get(best[item]));
+        } else if (best[item] >= 0 && best[item] != search.current(item)) {
           moves.put(
-              tasks.get(v),
+              tasks.get(item),
               new Move(
-                  machines.get(search.current(v)),
-                  machines.get(best[v]),
+                  machines.get(search.current(item)),
+                  machines.get(best[item]),
                   now + Constants.MOVE_PLAN_TTL_MS));
           plannedMoves++;
         }
--- a/src/main/java/org/baygw/control/workers/EndedTasks.java
+++ b/src/main/java/org/baygw/control/workers/EndedTasks.java
@@ -14,27 +14,27 @@
  */
 final class EndedTasks {
   /** Adds tasks of a job to a page's list of ended tasks. */
-  static void add(Map<String, String> texts, String job, TreeMap<Integer, Integer> more) {
+  static void add(Map<String, String> texts, String job, TreeMap<Integer, Integer> added) {
     TreeMap<Integer, Integer> all = PartitionRecord.indexes(texts.get(job));
-    all.putAll(more);
+    all.putAll(added);
     texts.put(job, PartitionRecord.indexes(all));
   }
 
   /**
    * Removes ended tasks that their job's progress includes, or whose job has no progress any more.
    */
-  static void removeRecorded(PartitionRecord r, StateCache view) {
+  static void removeRecorded(PartitionRecord page, StateCache view) {
     removeMatching(
-        r.done(),
-        (job, i, attempt) -> {
-          Progress p = view.written(job, i / Constants.CHUNK_TASKS);
-          return p == null || p.done.get(i);
+        page.done(),
+        (job, index, attempt) -> {
+          Progress progress = view.written(job, index / Constants.CHUNK_TASKS);
+          return progress == null || progress.done.get(index);
         });
     removeMatching(
-        r.back(),
-        (job, i, attempt) -> {
-          Progress p = view.written(job, i / Constants.CHUNK_TASKS);
-          return p == null || !p.isLive(i, attempt);
+        page.back(),
+        (job, index, attempt) -> {
+          Progress progress = view.written(job, index / Constants.CHUNK_TASKS);
+          return progress == null || !progress.isLive(index, attempt);
         });
   }
 
@@ -42,14 +42,14 @@
     boolean recorded(String job, int index, int attempt);
   }
 
-  private static void removeMatching(Map<String, String> texts, Recorded known) {
+  private static void removeMatching(Map<String, String> texts, Recorded recorded) {
     for (String job : List.copyOf(texts.keySet())) {
-      TreeMap<Integer, Integer> list = PartitionRecord.indexes(texts.get(job));
-      if (list.entrySet().removeIf(e -> known.recorded(job, e.getKey(), e.getValue()))) {
-        if (list.isEmpty()) {
+      TreeMap<Integer, Integer> indexes = PartitionRecord.indexes(texts.get(job));
+      if (indexes.entrySet().removeIf(e -> recorded.recorded(job, e.getKey(), e.getValue()))) {
+        if (indexes.isEmpty()) {
           texts.remove(job);
         } else {
-          texts.put(job, PartitionRecord.indexes(list));
+          texts.put(job, PartitionRecord.indexes(indexes));
         }
       }
     }
--- a/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
+++ b/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
@@ -84,135 +84,139 @@
    * Finds machines for a partition's granted tasks, for a limited number of jobs and within the
    * space of its record.
    */
-  Plan plan(Partition part, long claim, Set<TaskId> leaving, int mostJobs, RecordSpace space) {
+  Plan plan(Partition partition, long claim, Set<TaskId> excluded, int maxJobs, RecordSpace space) {
     long now = clock.now();
-    Map<String, Map<TaskId, Integer>> onto = new LinkedHashMap<>();
-    Map<TaskId, Integer> back = new LinkedHashMap<>();
-    Set<TaskId> unplaced = view.unplaced(part);
-    unplacedSince.keySet().removeIf(t -> !isUnplaced(t));
+    Map<String, Map<TaskId, Integer>> placements = new LinkedHashMap<>();
+    Map<TaskId, Integer> returned = new LinkedHashMap<>();
+    Set<TaskId> unplaced = view.unplaced(partition);
+    unplacedSince.keySet().removeIf(task -> !isUnplaced(task));
     if (unplaced.isEmpty()) {
-      return new Plan(onto, back);
+      return new Plan(placements, returned);
     }
-    List<TaskId> todo = new ArrayList<>(unplaced);
-    todo.sort(Comparator.comparing((TaskId t) -> priority(t)).thenComparing(t -> t));
-    List<MachineCapacity> free = capacities(part, claim);
-    free.removeIf(r -> !space.hasSpace(r.machine().name()));
+    List<TaskId> tasks = new ArrayList<>(unplaced);
+    tasks.sort(Comparator.comparing((TaskId task) -> priority(task)).thenComparing(task -> task));
+    List<MachineCapacity> candidates = capacities(partition, claim);
+    candidates.removeIf(capacity -> !space.hasSpace(capacity.machine().name()));
     Set<String> jobs = new HashSet<>();
-    MachineCapacity last = null;
+    MachineCapacity lastCapacity = null;
     String lastJob = null;
-    String fullFor = null;
-    for (TaskId t : todo) {
-      StateCache.Entry<Job> j = view.jobs.get(t.job());
-      Progress.Live l = view.grant(t);
-      if (leaving.contains(t) || l == null) {
+    String jobWithoutCapacity = null;
+    for (TaskId task : tasks) {
+      StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
+      Progress.Live grant = view.grant(task);
+      if (excluded.contains(task) || grant == null) {
         continue;
       }
-      long since = unplacedSince.computeIfAbsent(t, k -> now);
-      boolean over = !view.runs(t.job()) || l.stop();
-      JobSpec s = over ? null : j.value().spec();
-      MachineCapacity r = null;
-      boolean again = false;
-      if (!over && (jobs.contains(t.job()) || jobs.size() < mostJobs) && !t.job().equals(fullFor)) {
-        again =
-            t.job().equals(lastJob)
-                && !s.service()
-                && last.fits(s)
-                && space.hasSpace(last.machine().name());
-        r = again ? last : preferred(free, t, s);
-        r = r == null ? bestMachine(free, s) : r;
-        if (r == null) {
-          fullFor = t.job(); // its other tasks would not fit either
+      long since = unplacedSince.computeIfAbsent(task, k -> now);
+      boolean revoked = !view.runs(task.job()) || grant.stop();
+      JobSpec spec = revoked ? null : jobEntry.value().spec();
+      MachineCapacity capacity = null;
+      boolean sameMachine = false;
+      if (!revoked
+          && (jobs.contains(task.job()) || jobs.size() < maxJobs)
+          && !task.job().equals(jobWithoutCapacity)) {
+        sameMachine =
+            task.job().equals(lastJob)
+                && !spec.service()
+                && lastCapacity.fits(spec)
+                && space.hasSpace(lastCapacity.machine().name());
+        capacity = sameMachine ? lastCapacity : preferred(candidates, task, spec);
+        capacity = capacity == null ? bestMachine(candidates, spec) : capacity;
+        if (capacity == null) {
+          jobWithoutCapacity = task.job(); // its other tasks would not fit either
         }
       }
-      if (r != null) {
-        r.take(s);
-        last = r;
-        lastJob = t.job();
-        String name = r.machine().name();
-        jobs.add(t.job());
-        Map<TaskId, Integer> there = onto.computeIfAbsent(name, k -> new LinkedHashMap<>());
-        there.put(t, l.attempt());
-        int bytes = Constants.RECORD_TASK_BYTES + (again ? 0 : t.job().length());
+      if (capacity != null) {
+        capacity.take(spec);
+        lastCapacity = capacity;
+        lastJob = task.job();
+        String name = capacity.machine().name();
+        jobs.add(task.job());
+        Map<TaskId, Integer> machineTasks =
+            placements.computeIfAbsent(name, k -> new LinkedHashMap<>());
+        machineTasks.put(task, grant.attempt());
+        int bytes = Constants.RECORD_TASK_BYTES + (sameMachine ? 0 : task.job().length());
         if (space.reserve(name, bytes)) {
-          free.removeIf(x -> !space.hasSpace(x.machine().name()));
+          candidates.removeIf(candidate -> !space.hasSpace(candidate.machine().name()));
         }
-      } else if (over || now - since > Constants.UNGRANT_MS) {
-        back.put(t, l.attempt());
-        unplacedSince.remove(t); // if granted here again, the task waits anew
+      } else if (revoked || now - since > Constants.UNGRANT_MS) {
+        returned.put(task, grant.attempt());
+        unplacedSince.remove(task); // if granted here again, the task waits anew
       }
     }
-    return new Plan(onto, back);
+    return new Plan(placements, returned);
   }
 
-  private boolean isUnplaced(TaskId t) {
-    Progress.Live l = view.grant(t);
-    return l != null && view.unplaced(l.part()).contains(t);
+  private boolean isUnplaced(TaskId task) {
+    Progress.Live grant = view.grant(task);
+    return grant != null && view.unplaced(grant.part()).contains(task);
   }
 
-  private JobSpec.Priority priority(TaskId t) {
-    StateCache.Entry<Job> j = view.jobs.get(t.job());
-    return j == null ? JobSpec.Priority.LOW : j.value().spec().priority();
+  private JobSpec.Priority priority(TaskId task) {
+    StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
+    return jobEntry == null ? JobSpec.Priority.LOW : jobEntry.value().spec().priority();
   }
 
-  List<MachineCapacity> capacities(Partition part, long claim) {
-    List<MachineCapacity> out = new ArrayList<>();
-    Map<String, List<TaskId>> coming = rounds.incomingTasks();
-    for (String name : view.machinesOf(part)) {
-      WorkerSession a = sessions.get(name);
-      StateCache.Entry<Machine> e = view.machines.get(name);
-      if (a == null || a.claim != claim || !placeable(a, e.value())) {
+  List<MachineCapacity> capacities(Partition partition, long claim) {
+    List<MachineCapacity> capacities = new ArrayList<>();
+    Map<String, List<TaskId>> incoming = rounds.incomingTasks();
+    for (String name : view.machinesOf(partition)) {
+      WorkerSession worker = sessions.get(name);
+      StateCache.Entry<Machine> entry = view.machines.get(name);
+      if (worker == null || worker.claim != claim || !placeable(worker, entry.value())) {
         continue;
       }
-      MachineCapacity r = freeCapacity(a, e.value());
-      if (r != null) {
-        for (TaskId t : coming.getOrDefault(name, List.of())) {
-          r.take(view.jobs.get(t.job()).value().spec());
+      MachineCapacity capacity = freeCapacity(worker, entry.value());
+      if (capacity != null) {
+        for (TaskId task : incoming.getOrDefault(name, List.of())) {
+          capacity.take(view.jobs.get(task.job()).value().spec());
         }
-        out.add(r);
+        capacities.add(capacity);
       }
     }
-    return out;
+    return capacities;
   }
 
-  boolean placeable(WorkerSession a, Machine m) {
-    return a.claimConfirmed()
-        && !a.leaseExpired
-        && !a.missesResponses()
-        && a.noticeUntil == 0
-        && m.condition() == Machine.Condition.OK
-        && !view.drains.containsKey(m.name())
-        && recentlyHeard(a);
+  boolean placeable(WorkerSession worker, Machine machine) {
+    return worker.claimConfirmed()
+        && !worker.leaseExpired
+        && !worker.missesResponses()
+        && worker.noticeUntil == 0
+        && machine.condition() == Machine.Condition.OK
+        && !view.drains.containsKey(machine.name())
+        && recentlyHeard(worker);
   }
 
-  boolean recentlyHeard(WorkerSession a) {
-    return clock.now() - a.lastHeard
+  boolean recentlyHeard(WorkerSession worker) {
+    return clock.now() - worker.lastHeard
         <= settings.workers().reportS() * 1000 * Constants.RECENTLY_HEARD_REPORTS;
   }
 
-  MachineCapacity freeCapacity(WorkerSession a, Machine m) {
-    MachineCapacity r = capacityCache.of(m);
-    if (r != null) {
-      for (Map.Entry<TaskId, WorkerCodec.ReportedTask> s : a.reported.entrySet()) {
-        if (s.getValue().state() != WorkerCodec.State.ENDED && !m.tasks().containsKey(s.getKey())) {
-          StateCache.Entry<Job> j = view.jobs.get(s.getKey().job());
-          if (j != null) {
-            r.take(j.value().spec()); // not in the record, but running until killed
+  MachineCapacity freeCapacity(WorkerSession worker, Machine machine) {
+    MachineCapacity capacity = capacityCache.of(machine);
+    if (capacity != null) {
+      for (Map.Entry<TaskId, WorkerCodec.ReportedTask> reported : worker.reported.entrySet()) {
+        if (reported.getValue().state() != WorkerCodec.State.ENDED
+            && !machine.tasks().containsKey(reported.getKey())) {
+          StateCache.Entry<Job> jobEntry = view.jobs.get(reported.getKey().job());
+          if (jobEntry != null) {
+            capacity.take(jobEntry.value().spec()); // not in the record, but running until killed
           }
         }
       }
     }
-    return r;
+    return capacity;
   }
 
   /**
    * The machine that a round chose for the task; null if there is none or the task no longer fits.
    */
-  private MachineCapacity preferred(List<MachineCapacity> free, TaskId t, JobSpec s) {
-    String name = preferredMachines.remove(t);
+  private MachineCapacity preferred(List<MachineCapacity> candidates, TaskId task, JobSpec spec) {
+    String name = preferredMachines.remove(task);
     if (name != null) {
-      for (MachineCapacity r : free) {
-        if (r.machine().name().equals(name) && r.fits(s)) {
-          return r;
+      for (MachineCapacity candidate : candidates) {
+        if (candidate.machine().name().equals(name) && candidate.fits(spec)) {
+          return candidate;
         }
       }
     }
@@ -220,17 +224,17 @@
   }
 
   /** The machine that suits best; null if none fits or the job waits for its retry. */
-  private MachineCapacity bestMachine(List<MachineCapacity> free, JobSpec s) {
-    if (failures.inBackoff(s.id())) {
+  private MachineCapacity bestMachine(List<MachineCapacity> candidates, JobSpec spec) {
+    if (failures.inBackoff(spec.id())) {
       return null;
     }
     MachineCapacity best = null;
-    for (MachineCapacity r : free) {
-      if (!r.fits(s) || failures.avoidsMachine(s.id(), r.machine().name())) {
+    for (MachineCapacity candidate : candidates) {
+      if (!candidate.fits(spec) || failures.avoidsMachine(spec.id(), candidate.machine().name())) {
         continue;
       }
-      if (best == null || r.better(best, s)) {
-        best = r;
+      if (best == null || candidate.better(best, spec)) {
+        best = candidate;
       }
     }
     return best;
--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -40,7 +40,7 @@
     WorkerSession session(String machine);
 
     /** The writer of a partition, or null if this controller does not own it. */
-    PartitionWriter writer(Partition part);
+    PartitionWriter writer(Partition partition);
 
     /** Called once tasks have been durably placed on the machines. */
     void placed(Set<String> machines);
@@ -174,9 +174,9 @@
     @Override
     public boolean reserve(String machine, int bytes) {
       int page = pageOf(machine);
-      boolean fresh = changedPages.add(page);
+      boolean newlyChanged = changedPages.add(page);
       sizes.put(page, size(page) + bytes);
-      return fresh || !hasSpace(machine);
+      return newlyChanged || !hasSpace(machine);
     }
 
     Map<TaskId, Integer> editableTasks(String machine) {
@@ -185,23 +185,26 @@
     }
 
     void addEnded(
-        Map<Integer, Map<String, TreeMap<Integer, Integer>>> ended, int page, TaskId t, int value) {
+        Map<Integer, Map<String, TreeMap<Integer, Integer>>> ended,
+        int page,
+        TaskId task,
+        int value) {
       markChanged(page);
       ended
           .computeIfAbsent(page, k -> new HashMap<>())
-          .computeIfAbsent(t.job(), k -> new TreeMap<>())
-          .put(t.index(), value);
+          .computeIfAbsent(task.job(), k -> new TreeMap<>())
+          .put(task.index(), value);
     }
 
     /** Adds the changed pages to the transaction. */
     Txn buildTxn() {
       taskLists.forEach(
           (machine, tasks) -> {
-            PartitionRecord r = editable(pageOf(machine));
+            PartitionRecord record = editable(pageOf(machine));
             if (tasks.isEmpty()) {
-              r.on().remove(machine);
+              record.on().remove(machine);
             } else {
-              r.on().put(machine, PartitionRecord.tasks(tasks));
+              record.on().put(machine, PartitionRecord.tasks(tasks));
             }
           });
       doneTasks.forEach(
@@ -220,12 +223,12 @@
 
   /** Maximum number of pages in one write: its other operations are for jobs and moves. */
   private int maxPagesPerWrite() {
-    int most = (int) Math.ceil(settings.state().txnOps() * Constants.RECORD_WRITE_SHARE);
-    return Math.min(most, view.pages().count(partition));
+    int maxPages = (int) Math.ceil(settings.state().txnOps() * Constants.RECORD_WRITE_SHARE);
+    return Math.min(maxPages, view.pages().count(partition));
   }
 
   PartitionWriter(
-      Partition part,
+      Partition partition,
       long claim,
       Clock clock,
       Settings settings,
@@ -234,8 +237,8 @@
       TerminationEvidence evidence,
       FirstFitPlacer placer,
       ConsolidationRound rounds,
-      Context owner) {
-    this.partition = part;
+      Context context) {
+    this.partition = partition;
     this.claim = claim;
     this.clock = clock;
     this.settings = settings;
@@ -244,7 +247,7 @@
     this.evidence = evidence;
     this.placer = placer;
     this.rounds = rounds;
-    this.context = owner;
+    this.context = context;
   }
 
   /** Marks a machine on which tasks may have ended or whose condition has changed. */
@@ -253,8 +256,8 @@
   }
 
   /** Whether a write in progress involves the task: launches and forgets wait for its outcome. */
-  boolean inWrite(TaskId t) {
-    return tasksInWrite.contains(t);
+  boolean inWrite(TaskId task) {
+    return tasksInWrite.contains(task);
   }
 
   /** Starts a write if there are changes and no write is in progress. */
@@ -263,50 +266,50 @@
     if (queued || writing) {
       return;
     }
-    boolean place = !view.unplaced(partition).isEmpty() && now >= nextPlacement;
-    if (dirty.isEmpty() && !place) {
+    boolean placementDue = !view.unplaced(partition).isEmpty() && now >= nextPlacement;
+    if (dirty.isEmpty() && !placementDue) {
       return;
     }
-    long pace =
+    long minIntervalMs =
         Constants.RECORD_WRITE_INTERVAL_MS
             + Constants.RECORD_WRITE_INTERVAL_PER_PAGE_MS * (maxPagesPerWrite() - 1);
-    if (store.scarce() && now < lastWrite + pace) {
+    if (store.scarce() && now < lastWrite + minIntervalMs) {
       return; // changes until then share the write
     }
     queued = true;
-    Draft[] made = new Draft[1];
+    Draft[] draft = new Draft[1];
     store.settle(
         Store.Urgency.LAUNCH,
         () -> {
-          made[0] = writing ? null : buildDraft();
-          if (made[0] == null) {
+          draft[0] = writing ? null : buildDraft();
+          if (draft[0] == null) {
             return null;
           }
           writing = true;
           lastWrite = clock.now();
-          return made[0].txn;
+          return draft[0].txn;
         },
         ok -> {
           queued = false;
-          if (made[0] != null) {
-            writeFinished(made[0], ok);
+          if (draft[0] != null) {
+            writeFinished(draft[0], ok);
           }
         });
   }
 
-  private void writeFinished(Draft d, boolean ok) {
+  private void writeFinished(Draft draft, boolean ok) {
     writing = false;
     tasksInWrite.clear();
     nextPlacement = 0;
-    if (d.moveTarget != null) {
-      d.moveTarget.writing = false;
-      d.moveTarget.tasksInWrite.clear();
+    if (draft.moveTarget != null) {
+      draft.moveTarget.writing = false;
+      draft.moveTarget.tasksInWrite.clear();
     }
     if (ok) {
-      d.onSuccess.forEach(Runnable::run);
-      context.placed(d.placedOn);
+      draft.onSuccess.forEach(Runnable::run);
+      context.placed(draft.placedOn);
     } else {
-      dirty.addAll(d.handledMachines); // to be checked again
+      dirty.addAll(draft.handledMachines); // to be checked again
     }
   }
 
@@ -320,26 +323,26 @@
     if (split != null) {
       return split;
     }
-    Draft d = new Draft();
+    Draft draft = new Draft();
     for (String name : List.copyOf(dirty)) {
-      int page = d.pageOf(name);
-      if (d.size(page) < pageLimitBytes() - Constants.RECORD_SPARE_BYTES
-          && d.canChange(page)
-          && d.handledMachines.size() < Constants.MACHINES_PER_WRITE) {
+      int page = draft.pageOf(name);
+      if (draft.size(page) < pageLimitBytes() - Constants.RECORD_SPARE_BYTES
+          && draft.canChange(page)
+          && draft.handledMachines.size() < Constants.MACHINES_PER_WRITE) {
         dirty.remove(name);
-        d.handledMachines.add(name);
-        applyMachineChanges(d, name);
+        draft.handledMachines.add(name);
+        applyMachineChanges(draft, name);
       }
     }
-    completeJobs(d);
-    placeTasks(d);
-    if (!d.changed()) {
+    completeJobs(draft);
+    placeTasks(draft);
+    if (!draft.changed()) {
       nextPlacement = clock.now() + Constants.PLACEMENT_RETRY_MS;
       tasksInWrite.clear();
       return null;
     }
-    d.buildTxn();
-    return d;
+    draft.buildTxn();
+    return draft;
   }
 
   /**
@@ -353,29 +356,29 @@
     if (!splitNeeded()) {
       return null;
     }
-    int before = view.pages().count(partition);
-    Draft d = new Draft();
-    d.markChanged(0);
-    int after = before;
-    int bytes = d.size(0);
-    while (after < 2 * before) {
-      int page = PartitionRecord.nextSplit(after);
-      int writes = d.changedPages.contains(page) ? 1 : 2;
-      bytes += d.changedPages.contains(page) ? 0 : d.size(page);
-      if (after > before
-          && (d.writes() + writes > settings.state().txnOps()
+    int pagesBefore = view.pages().count(partition);
+    Draft draft = new Draft();
+    draft.markChanged(0);
+    int pagesAfter = pagesBefore;
+    int bytes = draft.size(0);
+    while (pagesAfter < 2 * pagesBefore) {
+      int page = PartitionRecord.nextSplit(pagesAfter);
+      int writes = draft.changedPages.contains(page) ? 1 : 2;
+      bytes += draft.changedPages.contains(page) ? 0 : draft.size(page);
+      if (pagesAfter > pagesBefore
+          && (draft.writes() + writes > settings.state().txnOps()
               || bytes > Constants.MAX_BODY * Constants.RECORD_WRITE_SHARE)) {
         break;
       }
-      d.markChanged(page);
-      d.markChanged(after);
-      moveMachines(d.editable(page), d.editable(after), after, after + 1);
-      after++;
-    }
-    d.setPages(after);
-    d.buildTxn();
-    LOG.info("{}: splitting its record into {} pages", partition, after);
-    return d;
+      draft.markChanged(page);
+      draft.markChanged(pagesAfter);
+      moveMachines(draft.editable(page), draft.editable(pagesAfter), pagesAfter, pagesAfter + 1);
+      pagesAfter++;
+    }
+    draft.setPages(pagesAfter);
+    draft.buildTxn();
+    LOG.info("{}: splitting its record into {} pages", partition, pagesAfter);
+    return draft;
   }
 
   /**
@@ -384,15 +387,15 @@
    */
   private boolean splitNeeded() {
     int pages = view.pages().count(partition);
-    int most = 0;
-    int sum = 0;
+    int maxBytes = 0;
+    int totalBytes = 0;
     for (int page = 0; page < pages; page++) {
       int bytes = view.pages().onBytes(partition, page);
-      most = Math.max(most, bytes);
-      sum += bytes;
+      maxBytes = Math.max(maxBytes, bytes);
+      totalBytes += bytes;
     }
-    return most > pageLimitBytes() * Constants.RECORD_SPLIT_SHARE
-        && sum > pages * pageLimitBytes() * Constants.RECORD_SPLIT_MEAN_SHARE;
+    return maxBytes > pageLimitBytes() * Constants.RECORD_SPLIT_SHARE
+        && totalBytes > pages * pageLimitBytes() * Constants.RECORD_SPLIT_MEAN_SHARE;
   }
 
   /** Moves the machines that belong on a new page to it, given the new number of pages. */
@@ -415,51 +418,55 @@
   }
 
   /** Removes tasks that are proved to have left a machine, and updates the machine's condition. */
-  private void applyMachineChanges(Draft d, String name) {
-    StateCache.Entry<Machine> e = view.machines.get(name);
-    if (e == null) {
+  private void applyMachineChanges(Draft draft, String name) {
+    StateCache.Entry<Machine> entry = view.machines.get(name);
+    if (entry == null) {
       return;
     }
-    Machine m = e.value();
-    WorkerSession a = context.session(name);
+    Machine machine = entry.value();
+    WorkerSession worker = context.session(name);
     boolean gone = view.drains.get(name) == StateCache.Drain.GONE;
-    Map<TaskId, TerminationEvidence.End> ends = evidence.endedTasks(a, m);
+    Map<TaskId, TerminationEvidence.End> ends = evidence.endedTasks(worker, machine);
     for (Map.Entry<TaskId, TerminationEvidence.End> end : ends.entrySet()) {
-      TaskId t = end.getKey();
-      int attempt = d.editableTasks(name).remove(t);
-      tasksInWrite.add(t);
-      if (view.grant(t) != null && view.grant(t).attempt() == attempt) {
+      TaskId task = end.getKey();
+      int attempt = draft.editableTasks(name).remove(task);
+      tasksInWrite.add(task);
+      if (view.grant(task) != null && view.grant(task).attempt() == attempt) {
         if (end.getValue() == TerminationEvidence.End.DONE) {
-          d.addEnded(d.doneTasks, d.pageOf(name), t, 1);
-        } else if (gone || !moveTask(d, a, t)) {
-          d.addEnded(d.returnedTasks, d.pageOf(name), t, attempt);
+          draft.addEnded(draft.doneTasks, draft.pageOf(name), task, 1);
+        } else if (gone || !moveTask(draft, worker, task)) {
+          draft.addEnded(draft.returnedTasks, draft.pageOf(name), task, attempt);
         }
       }
-      rounds.dropMove(t);
-      d.onSuccess.add(() -> placer.failures().taskEnded(partition, a, t, end.getValue()));
+      rounds.dropMove(task);
+      draft.onSuccess.add(
+          () -> placer.failures().taskEnded(partition, worker, task, end.getValue()));
     }
-    Machine.Condition wanted = a.condition == null ? m.condition() : a.condition;
-    String condition = wanted == Machine.Condition.OK ? null : wanted.name();
+    Machine.Condition wantedCondition =
+        worker.condition == null ? machine.condition() : worker.condition;
+    String condition = wantedCondition == Machine.Condition.OK ? null : wantedCondition.name();
     if (gone) {
       condition = null;
-      if ((d.taskLists.containsKey(name) ? d.taskLists.get(name) : m.tasks()).isEmpty()) {
+      if ((draft.taskLists.containsKey(name) ? draft.taskLists.get(name) : machine.tasks())
+          .isEmpty()) {
         // One operation stays reserved for the page from which the machine's condition is removed.
-        if (d.txn.writes() < Constants.DELETES_PER_WRITE
-            && d.writes() + 1 < settings.state().txnOps()) {
-          d.txn.delete(Keys.machine(name));
+        if (draft.txn.writes() < Constants.DELETES_PER_WRITE
+            && draft.writes() + 1 < settings.state().txnOps()) {
+          draft.txn.delete(Keys.machine(name));
         } else {
           dirty.add(name);
         }
       }
     }
-    Map<String, String> conditions = d.editable(d.pageOf(name)).conditions();
+    Map<String, String> conditions = draft.editable(draft.pageOf(name)).conditions();
     if (!Objects.equals(condition, conditions.get(name))) {
-      d.markChanged(d.pageOf(name));
+      draft.markChanged(draft.pageOf(name));
       if (condition == null) {
         conditions.remove(name);
       } else {
         conditions.put(name, condition);
-        d.onSuccess.add(() -> LOG.info("machine {}: condition is now {}", name, wanted));
+        draft.onSuccess.add(
+            () -> LOG.info("machine {}: condition is now {}", name, wantedCondition));
       }
     }
   }
@@ -468,127 +475,141 @@
    * Adds the task to the machine that a round chose, under the next attempt, in the write that
    * removes it from its present one. Returns false if the move cannot be made now.
    */
-  private boolean moveTask(Draft d, WorkerSession from, TaskId t) {
-    String name = rounds.target(t, from.name);
-    StateCache.Entry<Machine> e = name == null ? null : view.machines.get(name);
-    StateCache.Entry<Job> j = view.jobs.get(t.job());
-    if (e == null || d.moveTarget != null || !view.runs(t.job()) || view.grant(t).stop()) {
+  private boolean moveTask(Draft draft, WorkerSession from, TaskId task) {
+    String name = rounds.target(task, from.name);
+    StateCache.Entry<Machine> entry = name == null ? null : view.machines.get(name);
+    StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
+    if (entry == null
+        || draft.moveTarget != null
+        || !view.runs(task.job())
+        || view.grant(task).stop()) {
       return false;
     }
-    Machine to = e.value();
-    PartitionWriter there = context.writer(to.part());
-    WorkerSession a = there == null ? null : there.context.session(name);
-    if (a == null || there != this && there.writing || !placer.placeable(a, to)) {
+    Machine targetMachine = entry.value();
+    PartitionWriter targetWriter = context.writer(targetMachine.part());
+    WorkerSession targetWorker = targetWriter == null ? null : targetWriter.context.session(name);
+    if (targetWorker == null
+        || targetWriter != this && targetWriter.writing
+        || !placer.placeable(targetWorker, targetMachine)) {
       return false;
     }
-    MachineCapacity r = placer.freeCapacity(a, to);
-    if (r == null
-        || !r.fits(j.value().spec())
-        || d.taskLists.containsKey(name)
-        || there == this && !d.canChange(d.pageOf(name))
-        || d.writes() + MOVE_WRITES > settings.state().txnOps()) {
+    MachineCapacity capacity = placer.freeCapacity(targetWorker, targetMachine);
+    if (capacity == null
+        || !capacity.fits(jobEntry.value().spec())
+        || draft.taskLists.containsKey(name)
+        || targetWriter == this && !draft.canChange(draft.pageOf(name))
+        || draft.writes() + MOVE_WRITES > settings.state().txnOps()) {
       return false;
     }
-    int chunk = t.index() / Constants.CHUNK_TASKS;
-    String progress = Keys.progress(t.job(), chunk);
-    Progress p = view.progress(t.job(), chunk).copy();
-    p.back(t.index());
-    int attempt = p.grant(t.index(), to.part());
-    d.txn
-        .when(progress, view.stamp(progress))
-        .put(progress, Records.progress(p))
-        .when(Keys.drain(to.part()), view.stamp(Keys.drain(to.part())))
-        .when(Keys.job(t.job()), j.stamp());
-    if (there == this) {
-      d.editableTasks(name).put(t, attempt);
+    int chunk = task.index() / Constants.CHUNK_TASKS;
+    String progressKey = Keys.progress(task.job(), chunk);
+    Progress progress = view.progress(task.job(), chunk).copy();
+    progress.back(task.index());
+    int attempt = progress.grant(task.index(), targetMachine.part());
+    draft
+        .txn
+        .when(progressKey, view.stamp(progressKey))
+        .put(progressKey, Records.progress(progress))
+        .when(Keys.drain(targetMachine.part()), view.stamp(Keys.drain(targetMachine.part())))
+        .when(Keys.job(task.job()), jobEntry.stamp());
+    if (targetWriter == this) {
+      draft.editableTasks(name).put(task, attempt);
     } else {
-      int page = PartitionRecord.pageOf(name, view.pages().count(to.part()));
-      String first = Keys.record(to.part(), 0);
-      String key = Keys.record(to.part(), page);
-      PartitionRecord next = view.pages().get(to.part(), page).copy();
-      Map<TaskId, Integer> on = new LinkedHashMap<>(view.on(name));
-      on.put(t, attempt);
-      next.on().put(name, PartitionRecord.tasks(on));
-      d.txn
-          .when(first, view.stamp(first))
-          .when(key, view.stamp(key))
-          .when(Keys.claim(to.part().toString()), there.claim)
-          .put(key, Records.record(next));
-      d.moveTarget = there;
-      there.writing = true;
-      there.tasksInWrite.add(t);
-    }
-    d.placedOn.add(name);
+      int page = PartitionRecord.pageOf(name, view.pages().count(targetMachine.part()));
+      String firstPageKey = Keys.record(targetMachine.part(), 0);
+      String pageKey = Keys.record(targetMachine.part(), page);
+      PartitionRecord targetPage = view.pages().get(targetMachine.part(), page).copy();
+      Map<TaskId, Integer> tasksOnTarget = new LinkedHashMap<>(view.on(name));
+      tasksOnTarget.put(task, attempt);
+      targetPage.on().put(name, PartitionRecord.tasks(tasksOnTarget));
+      draft
+          .txn
+          .when(firstPageKey, view.stamp(firstPageKey))
+          .when(pageKey, view.stamp(pageKey))
+          .when(Keys.claim(targetMachine.part().toString()), targetWriter.claim)
+          .put(pageKey, Records.record(targetPage));
+      draft.moveTarget = targetWriter;
+      targetWriter.writing = true;
+      targetWriter.tasksInWrite.add(task);
+    }
+    draft.placedOn.add(name);
     return true;
   }
 
   /** Marks jobs as done whose last tasks end in this write, and deletes their progress. */
-  private void completeJobs(Draft d) {
+  private void completeJobs(Draft draft) {
     Map<String, Integer> ended = new LinkedHashMap<>();
-    d.doneTasks
+    draft
+        .doneTasks
         .values()
         .forEach(m -> m.forEach((job, l) -> ended.merge(job, l.size(), Integer::sum)));
     for (String job : ended.keySet()) {
-      StateCache.Entry<Job> j = view.jobs.get(job);
-      if (j == null
-          || !j.value().open()
-          || view.done(job) + ended.get(job) < j.value().spec().tasks()) {
+      StateCache.Entry<Job> jobEntry = view.jobs.get(job);
+      if (jobEntry == null
+          || !jobEntry.value().open()
+          || view.done(job) + ended.get(job) < jobEntry.value().spec().tasks()) {
         continue;
       }
-      int writes = 1 + j.value().chunks();
-      if (d.writes() + writes > settings.state().txnOps()) {
+      int writes = 1 + jobEntry.value().chunks();
+      if (draft.writes() + writes > settings.state().txnOps()) {
         continue; // the leader marks the job as done
       }
       LOG.debug(
           "job {} ({}) done after {} ms: {} tasks, estimated at {} s each",
           job,
-          j.value().spec().jobClass(),
-          clock.wall() - j.value().acceptedMs(),
-          j.value().spec().tasks(),
-          j.value().spec().estimateS());
-      d.txn.when(Keys.job(job), j.stamp()).put(Keys.job(job), Records.job(j.value().done()));
-      for (int c = 0; c < j.value().chunks(); c++) {
-        d.txn.delete(Keys.progress(job, c));
+          jobEntry.value().spec().jobClass(),
+          clock.wall() - jobEntry.value().acceptedMs(),
+          jobEntry.value().spec().tasks(),
+          jobEntry.value().spec().estimateS());
+      draft
+          .txn
+          .when(Keys.job(job), jobEntry.stamp())
+          .put(Keys.job(job), Records.job(jobEntry.value().done()));
+      for (int chunk = 0; chunk < jobEntry.value().chunks(); chunk++) {
+        draft.txn.delete(Keys.progress(job, chunk));
       }
-      d.doneTasks.values().forEach(m -> m.remove(job));
-      d.changedPages.forEach(page -> d.editable(page).done().remove(job));
-      d.changedPages.forEach(page -> d.editable(page).back().remove(job));
+      draft.doneTasks.values().forEach(m -> m.remove(job));
+      draft.changedPages.forEach(page -> draft.editable(page).done().remove(job));
+      draft.changedPages.forEach(page -> draft.editable(page).back().remove(job));
     }
   }
 
-  private void placeTasks(Draft d) {
-    int conditions =
-        settings.state().txnOps() * 4 - d.txn.conditions() - maxPagesPerWrite() - OTHER_CONDITIONS;
-    FirstFitPlacer.Plan plan = placer.plan(partition, claim, tasksInWrite, conditions, d);
+  private void placeTasks(Draft draft) {
+    int maxConditions =
+        settings.state().txnOps() * 4
+            - draft.txn.conditions()
+            - maxPagesPerWrite()
+            - OTHER_CONDITIONS;
+    FirstFitPlacer.Plan plan = placer.plan(partition, claim, tasksInWrite, maxConditions, draft);
     plan.returned()
         .forEach(
-            (t, attempt) -> {
-              d.addEnded(d.returnedTasks, d.smallestPage(), t, attempt);
-              tasksInWrite.add(t);
+            (task, attempt) -> {
+              draft.addEnded(draft.returnedTasks, draft.smallestPage(), task, attempt);
+              tasksInWrite.add(task);
             });
     if (plan.placements().isEmpty()) {
       return;
     }
     // No task may be placed on a machine once its return has been decided.
-    d.txn.when(Keys.drain(partition), view.stamp(Keys.drain(partition)));
+    draft.txn.when(Keys.drain(partition), view.stamp(Keys.drain(partition)));
     plan.placements()
         .forEach(
             (name, tasks) -> {
-              d.editableTasks(name).putAll(tasks);
+              draft.editableTasks(name).putAll(tasks);
               tasksInWrite.addAll(tasks.keySet());
-              d.placedOn.add(name);
-              for (TaskId t : tasks.keySet()) {
+              draft.placedOn.add(name);
+              for (TaskId task : tasks.keySet()) {
                 // The job must not have been cancelled. The grant needs no condition: while the job
                 // is open, only this record can return it.
-                d.txn.when(Keys.job(t.job()), view.stamp(Keys.job(t.job())));
-                Job j = view.jobs.get(t.job()).value();
+                draft.txn.when(Keys.job(task.job()), view.stamp(Keys.job(task.job())));
+                Job job = view.jobs.get(task.job()).value();
                 LOG.debug(
                     "placing task {} ({}) on {} after {} ms, image cached: {}",
-                    t,
-                    j.spec().jobClass(),
+                    task,
+                    job.spec().jobClass(),
                     name,
-                    clock.wall() - j.acceptedMs(),
-                    view.machines.get(name).value().images().contains(j.spec().image()));
+                    clock.wall() - job.acceptedMs(),
+                    view.machines.get(name).value().images().contains(job.spec().image()));
               }
             });
   }
--- a/src/main/java/org/baygw/control/workers/TaskFailures.java
+++ b/src/main/java/org/baygw/control/workers/TaskFailures.java
@@ -52,16 +52,16 @@
   /** Records how a task ended on a machine. */
   void taskEnded(
       Partition partition, WorkerSession worker, TaskId task, TerminationEvidence.End end) {
-    WorkerCodec.ReportedTask seen = worker.reported.get(task);
+    WorkerCodec.ReportedTask reported = worker.reported.get(task);
     if (end == TerminationEvidence.End.DONE) {
       if (!worker.failures.isEmpty()) {
         replication.completed(partition, worker.name);
       }
       worker.failures.clear();
       backoffs.remove(task.job());
-    } else if (seen != null
-        && seen.state() == WorkerCodec.State.ENDED
-        && seen.cause() == WorkerCodec.Cause.ERROR) {
+    } else if (reported != null
+        && reported.state() == WorkerCodec.State.ENDED
+        && reported.cause() == WorkerCodec.Cause.ERROR) {
       worker.failures.merge(task.job(), 1, Integer::sum);
       replication.failed(partition, worker.name, task.job());
       backOff(task.job(), worker.name);
--- a/src/main/java/org/baygw/control/workers/TerminationEvidence.java
+++ b/src/main/java/org/baygw/control/workers/TerminationEvidence.java
@@ -39,66 +39,72 @@
    * Marks a worker's lease as expired once its session must have ended with all its tasks; returns
    * true if it was marked now.
    */
-  boolean expireLease(WorkerSession a) {
-    if (a.claimConfirmed()
-        && clock.now() > a.lastAnswered + leaseMs + Constants.LEASE_MARGIN_MS
-        && !a.leaseExpired) {
+  boolean expireLease(WorkerSession worker) {
+    if (worker.claimConfirmed()
+        && clock.now() > worker.lastAnswered + leaseMs + Constants.LEASE_MARGIN_MS
+        && !worker.leaseExpired) {
       // The worker has seen this claim's token, so that only this controller's responses renew its
       // lease, and the last of them is too old: the worker has ended its session and all tasks with
       // it. Direct launches need the old session.
-      a.leaseExpired = true;
-      a.pendingLaunches.clear();
-      a.reported = new LinkedHashMap<>();
-      a.session++;
-      a.tick = -1;
+      worker.leaseExpired = true;
+      worker.pendingLaunches.clear();
+      worker.reported = new LinkedHashMap<>();
+      worker.session++;
+      worker.tick = -1;
       return true;
     }
     return false;
   }
 
   /** The recorded tasks of a machine that are proved to have left it. */
-  Map<TaskId, End> endedTasks(WorkerSession a, Machine m) {
+  Map<TaskId, End> endedTasks(WorkerSession worker, Machine machine) {
     Map<TaskId, End> ends = null;
-    for (Map.Entry<TaskId, Integer> t : m.tasks().entrySet()) {
-      End end = endOf(a, m, t.getKey(), t.getValue());
+    for (Map.Entry<TaskId, Integer> recorded : machine.tasks().entrySet()) {
+      End end = endOf(worker, machine, recorded.getKey(), recorded.getValue());
       if (end != null) {
         ends = ends == null ? new LinkedHashMap<>() : ends;
-        ends.put(t.getKey(), end);
+        ends.put(recorded.getKey(), end);
       }
     }
     return ends == null ? Map.of() : ends;
   }
 
   /** How a recorded task left the machine; null if that is not proved. */
-  End endOf(WorkerSession a, Machine m, TaskId t, int attempt) {
-    if (view.drains.get(m.name()) == StateCache.Drain.GONE) {
+  End endOf(WorkerSession worker, Machine machine, TaskId task, int attempt) {
+    if (view.drains.get(machine.name()) == StateCache.Drain.GONE) {
       return End.NOT_DONE; // the cloud has taken the machine back with all its tasks
     }
-    WorkerCodec.ReportedTask s = a.reported.get(t);
-    if (s != null && s.attempt() == attempt) {
-      if (s.state() != WorkerCodec.State.ENDED) {
+    WorkerCodec.ReportedTask reported = worker.reported.get(task);
+    if (reported != null && reported.attempt() == attempt) {
+      if (reported.state() != WorkerCodec.State.ENDED) {
         return null;
       }
-      return s.cause() == WorkerCodec.Cause.DONE ? End.DONE : End.NOT_DONE;
+      return reported.cause() == WorkerCodec.Cause.DONE ? End.DONE : End.NOT_DONE;
     }
     boolean absent =
-        a.claimConfirmed()
-            && (s == null || s.state() == WorkerCodec.State.ENDED)
-            && !a.pendingLaunches.containsKey(t);
+        worker.claimConfirmed()
+            && (reported == null || reported.state() == WorkerCodec.State.ENDED)
+            && !worker.pendingLaunches.containsKey(task);
     // A hung machine keeps its tasks after its lease has expired. A task of a cancelled job
     // therefore stays on record until the machine is heard or returned, or the next owner would not
     // know of it.
-    return absent && (a.leaseExpired ? !view.cancelled(t.job()) : !shouldRun(t, attempt, m))
+    return absent
+            && (worker.leaseExpired
+                ? !view.cancelled(task.job())
+                : !shouldRun(task, attempt, machine))
         ? End.NOT_DONE
         : null;
   }
 
   /** Whether the task should keep running on the machine under this attempt. */
-  boolean shouldRun(TaskId t, int attempt, Machine m) {
-    if (!view.runs(t.job())) {
+  boolean shouldRun(TaskId task, int attempt, Machine machine) {
+    if (!view.runs(task.job())) {
       return false;
     }
-    Progress.Live l = view.grant(t);
-    return l != null && l.attempt() == attempt && !l.stop() && l.part().equals(m.part());
+    Progress.Live grant = view.grant(task);
+    return grant != null
+        && grant.attempt() == attempt
+        && !grant.stop()
+        && grant.part().equals(machine.part());
   }
 }
--- a/src/main/java/org/baygw/control/workers/WorkerCodec.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCodec.java
@@ -54,21 +54,21 @@
   record Order(Verb verb, TaskId task, int attempt, double graceS) {}
 
   /** Returns null if the body is not a valid report. */
-  static Report decode(JsonNode n) {
-    String host = n.path("host").asText("");
-    String zone = n.path("yard").asText("");
+  static Report decode(JsonNode json) {
+    String host = json.path("host").asText("");
+    String zone = json.path("yard").asText("");
     if (host.isEmpty()
         || host.contains("/")
         || zone.isEmpty()
-        || !n.path("stint").isNumber()
-        || !n.path("tick").isNumber()) {
+        || !json.path("stint").isNumber()
+        || !json.path("tick").isNumber()) {
       return null;
     }
     Map<TaskId, ReportedTask> tasks = new LinkedHashMap<>();
-    for (JsonNode t : n.path("chores")) {
-      TaskId id = TaskId.parse(t.path("chore").asText(""));
+    for (JsonNode taskNode : json.path("chores")) {
+      TaskId task = TaskId.parse(taskNode.path("chore").asText(""));
       State state =
-          switch (t.path("status").asText("")) {
+          switch (taskNode.path("status").asText("")) {
             case "fetching" -> State.FETCHING;
             case "saving" -> State.SAVING;
             case "ended" -> State.ENDED;
@@ -77,47 +77,47 @@
       Cause cause =
           state != State.ENDED
               ? null
-              : switch (t.path("cause").asText("")) {
+              : switch (taskNode.path("cause").asText("")) {
                 case "done" -> Cause.DONE;
                 case "halted" -> Cause.STOPPED;
                 case "no_room", "busy", "no_such" -> Cause.REFUSED;
                 default -> Cause.ERROR;
               };
-      if (id != null) {
-        ReportedTask seen = new ReportedTask(t.path("try").asInt(), state, cause);
+      if (task != null) {
+        ReportedTask reported = new ReportedTask(taskNode.path("try").asInt(), state, cause);
         // A refused second attempt may be listed with the first: the one that has not ended counts.
-        tasks.merge(id, seen, (a, b) -> b.state() == State.ENDED ? a : b);
+        tasks.merge(task, reported, (a, b) -> b.state() == State.ENDED ? a : b);
       }
     }
     return new Report(
         host,
-        n.path("address").asText(""),
-        n.path("build").asText(""),
+        json.path("address").asText(""),
+        json.path("build").asText(""),
         zone,
-        n.path("loaners").asBoolean(),
-        n.path("stint").asLong(),
-        n.path("tick").asLong(),
-        n.path("baton").asLong(),
-        n.path("warningS").isNumber() ? n.path("warningS").asDouble() : null,
+        json.path("loaners").asBoolean(),
+        json.path("stint").asLong(),
+        json.path("tick").asLong(),
+        json.path("baton").asLong(),
+        json.path("warningS").isNumber() ? json.path("warningS").asDouble() : null,
         tasks);
   }
 
   static ObjectNode response(long token, List<Order> orders) {
-    ObjectNode n = Json.object().put("baton", token);
-    ArrayNode a = n.putArray("orders");
-    for (Order o : orders) {
-      ObjectNode e = a.addObject();
-      switch (o.verb()) {
-        case LAUNCH -> e.put("verb", "launch");
-        case KILL -> e.put("verb", "kill");
-        case FORGET -> e.put("verb", "forget");
+    ObjectNode json = Json.object().put("baton", token);
+    ArrayNode array = json.putArray("orders");
+    for (Order order : orders) {
+      ObjectNode item = array.addObject();
+      switch (order.verb()) {
+        case LAUNCH -> item.put("verb", "launch");
+        case KILL -> item.put("verb", "kill");
+        case FORGET -> item.put("verb", "forget");
       }
-      e.put("chore", o.task().toString()).put("try", o.attempt());
-      if (o.verb() == Verb.KILL) {
-        e.put("windDownS", o.graceS());
+      item.put("chore", order.task().toString()).put("try", order.attempt());
+      if (order.verb() == Verb.KILL) {
+        item.put("windDownS", order.graceS());
       }
     }
-    return n;
+    return json;
   }
 
   static ObjectNode directOrders(long token, long session, List<Order> orders) {
@@ -125,11 +125,11 @@
   }
 
   static ObjectNode redirect(String label) {
-    ObjectNode n = Json.object();
+    ObjectNode json = Json.object();
     if (label != null) {
-      n.put("home", label);
+      json.put("home", label);
     }
-    return n;
+    return json;
   }
 
   private WorkerCodec() {}
--- a/src/main/java/org/baygw/control/workers/WorkerCommands.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCommands.java
@@ -24,7 +24,7 @@
 final class WorkerCommands {
   /** Handles a report that came as the answer to a call of this controller. */
   interface ReportHandler {
-    void handle(WorkerSession a, byte[] body);
+    void handle(WorkerSession worker, byte[] body);
   }
 
   private final Clock clock;
@@ -55,7 +55,7 @@
       ConsolidationRound rounds,
       CancellationWatermark watermark,
       Replication replication,
-      ReportHandler heard) {
+      ReportHandler reportHandler) {
     this.replication = replication;
     this.clock = clock;
     this.out = out;
@@ -65,16 +65,17 @@
     this.placer = placer;
     this.rounds = rounds;
     this.watermark = watermark;
-    this.reportHandler = heard;
+    this.reportHandler = reportHandler;
   }
 
   Histogram launchMs() {
     return launchMs;
   }
 
-  boolean silent(WorkerSession a) {
-    double reports = Constants.LOST_REPORTS * settings.workers().reportS() * 1000;
-    return a.missesResponses() || a.probeUnanswered && clock.now() - lastHeardAt(a) > reports;
+  boolean silent(WorkerSession worker) {
+    double maxSilenceMs = Constants.LOST_REPORTS * settings.workers().reportS() * 1000;
+    return worker.missesResponses()
+        || worker.probeUnanswered && clock.now() - lastHeardAt(worker) > maxSilenceMs;
   }
 
   /** Called at the start of a tick. */
@@ -89,49 +90,50 @@
     stalledAt = clock.now();
   }
 
-  private long lastHeardAt(WorkerSession a) {
-    return Math.max(stalledAt, Math.max(a.lastHeard, a.createdAt));
+  private long lastHeardAt(WorkerSession worker) {
+    return Math.max(stalledAt, Math.max(worker.lastHeard, worker.createdAt));
   }
 
   /**
    * Probes a worker that is silent or has not seen this claim's token: after a takeover it may wait
    * seconds for its former owner, and until it has seen the token none of its reports is proof.
    */
-  void probe(WorkerSession a) {
+  void probe(WorkerSession worker) {
     long now = clock.now();
-    if (a.expectedSession > 0 && announceToken(a)) {
+    if (worker.expectedSession > 0 && announceToken(worker)) {
       return;
     }
     boolean quiet =
-        now - lastHeardAt(a) > Constants.PROBE_AFTER_REPORTS * settings.workers().reportS() * 1000;
-    if (a.probing
-        || a.directCallInProgress
-        || a.addr.isEmpty()
-        || now < a.nextProbe
+        now - lastHeardAt(worker)
+            > Constants.PROBE_AFTER_REPORTS * settings.workers().reportS() * 1000;
+    if (worker.probing
+        || worker.directCallInProgress
+        || worker.addr.isEmpty()
+        || now < worker.nextProbe
         || !quiet
-            && (a.claimConfirmed()
-                || a.lastHeard > 0
-                || now - a.createdAt < Constants.PROBE_AFTER_TAKEOVER_MS)) {
+            && (worker.claimConfirmed()
+                || worker.lastHeard > 0
+                || now - worker.createdAt < Constants.PROBE_AFTER_TAKEOVER_MS)) {
       return;
     }
-    a.probing = true;
-    a.nextProbe =
+    worker.probing = true;
+    worker.nextProbe =
         now + (long) (settings.workers().reportS() * 1000 * Constants.PROBE_INTERVAL_REPORTS);
     out.call(
-        a.addr,
+        worker.addr,
         "GET",
         "/show",
         null,
         Constants.PROBE_TIMEOUT_MS,
         (status, body) -> {
-          a.probing = false;
+          worker.probing = false;
           if (status != 200) {
-            a.probeUnanswered = true;
+            worker.probeUnanswered = true;
             return;
           }
-          reportHandler.handle(a, body);
-          if (!a.claimConfirmed() && a.session > 0) {
-            sendDirect(a, a.session, List.of());
+          reportHandler.handle(worker, body);
+          if (!worker.claimConfirmed() && worker.session > 0) {
+            sendDirect(worker, worker.session, List.of());
           }
         });
   }
@@ -142,78 +144,82 @@
    * announcement was sent or has to wait for a later tick; false if the worker has been heard
    * already or cannot be called now.
    */
-  private boolean announceToken(WorkerSession a) {
-    if (a.lastHeard > 0 || a.directCallInProgress || a.addr.isEmpty()) {
-      a.expectedSession = 0;
+  private boolean announceToken(WorkerSession worker) {
+    if (worker.lastHeard > 0 || worker.directCallInProgress || worker.addr.isEmpty()) {
+      worker.expectedSession = 0;
       return false;
     }
     if (announcementsLeft == 0) {
       return true;
     }
     announcementsLeft--;
-    long session = a.expectedSession;
-    a.expectedSession = 0;
-    a.announcingToken = true;
-    sendDirect(a, session, List.of());
+    long session = worker.expectedSession;
+    worker.expectedSession = 0;
+    worker.announcingToken = true;
+    sendDirect(worker, session, List.of());
     return true;
   }
 
   /** The orders that go with the response to a report. */
   List<WorkerCodec.Order> ordersForReport(
-      WorkerSession a, Machine m, PartitionWriter l, long tick) {
-    List<WorkerCodec.Order> orders = dueOrders(a, m, l, true);
-    for (WorkerCodec.Order o : orders) {
-      if (o.verb() == WorkerCodec.Verb.LAUNCH) {
-        a.pendingLaunch(o.task()).replyTick = tick;
-        recordLaunch(a, o.task());
+      WorkerSession worker, Machine machine, PartitionWriter writer, long tick) {
+    List<WorkerCodec.Order> orders = dueOrders(worker, machine, writer, true);
+    for (WorkerCodec.Order order : orders) {
+      if (order.verb() == WorkerCodec.Verb.LAUNCH) {
+        worker.pendingLaunch(order.task()).replyTick = tick;
+        recordLaunch(worker, order.task());
       }
     }
     return orders;
   }
 
   /** Sends orders that should not wait for the next report. */
-  void sendUrgent(WorkerSession a, Machine m, PartitionWriter l) {
-    if (a.directCallInProgress
-        || a.addr.isEmpty()
-        || !a.claimConfirmed()
-        || a.leaseExpired
-        || !placer.recentlyHeard(a)) {
+  void sendUrgent(WorkerSession worker, Machine machine, PartitionWriter writer) {
+    if (worker.directCallInProgress
+        || worker.addr.isEmpty()
+        || !worker.claimConfirmed()
+        || worker.leaseExpired
+        || !placer.recentlyHeard(worker)) {
       return;
     }
-    List<WorkerCodec.Order> orders = dueOrders(a, m, l, false);
+    List<WorkerCodec.Order> orders = dueOrders(worker, machine, writer, false);
     if (!orders.isEmpty()) {
-      sendDirect(a, a.session, orders);
+      sendDirect(worker, worker.session, orders);
     }
   }
 
   /** The orders for a worker according to its last report and the record. */
   private List<WorkerCodec.Order> dueOrders(
-      WorkerSession a, Machine m, PartitionWriter l, boolean reply) {
+      WorkerSession worker, Machine machine, PartitionWriter writer, boolean inResponse) {
     List<WorkerCodec.Order> orders = new ArrayList<>();
     List<WorkerCodec.Order> completed = new ArrayList<>();
-    for (Map.Entry<TaskId, WorkerCodec.ReportedTask> t : a.reported.entrySet()) {
-      WorkerCodec.ReportedTask s = t.getValue();
-      Integer recorded = m.tasks().get(t.getKey());
-      boolean ours = recorded != null && recorded == s.attempt();
-      if (s.state() == WorkerCodec.State.ENDED) {
+    for (Map.Entry<TaskId, WorkerCodec.ReportedTask> entry : worker.reported.entrySet()) {
+      WorkerCodec.ReportedTask reported = entry.getValue();
+      Integer recordedAttempt = machine.tasks().get(entry.getKey());
+      boolean onRecord = recordedAttempt != null && recordedAttempt == reported.attempt();
+      if (reported.state() == WorkerCodec.State.ENDED) {
         // A worker may forget an ended task only once its end is durable: until then the report is
         // the only record of it.
-        if (reply && !ours && !l.inWrite(t.getKey())) {
+        if (inResponse && !onRecord && !writer.inWrite(entry.getKey())) {
           // A task that did not complete may be placed here again, and the worker would refuse it
           // until it has forgotten this attempt.
-          boolean soon = s.cause() != WorkerCodec.Cause.DONE;
-          (soon ? orders : completed)
-              .add(new WorkerCodec.Order(WorkerCodec.Verb.FORGET, t.getKey(), s.attempt(), 0));
+          boolean forgetNow = reported.cause() != WorkerCodec.Cause.DONE;
+          (forgetNow ? orders : completed)
+              .add(
+                  new WorkerCodec.Order(
+                      WorkerCodec.Verb.FORGET, entry.getKey(), reported.attempt(), 0));
         }
         continue;
       }
-      Double grace = stopGraceS(a, t.getKey(), s, m, ours, l);
-      Long before = a.killSentAt.get(t.getKey());
-      if (grace != null
-          && (before == null
-              || clock.now() - before > settings.workers().reportS() * 1000 && grace == 0)) {
-        a.killSentAt.put(t.getKey(), clock.now());
-        orders.add(new WorkerCodec.Order(WorkerCodec.Verb.KILL, t.getKey(), s.attempt(), grace));
+      Double graceS = stopGraceS(worker, entry.getKey(), reported, machine, onRecord, writer);
+      Long lastKill = worker.killSentAt.get(entry.getKey());
+      if (graceS != null
+          && (lastKill == null
+              || clock.now() - lastKill > settings.workers().reportS() * 1000 && graceS == 0)) {
+        worker.killSentAt.put(entry.getKey(), clock.now());
+        orders.add(
+            new WorkerCodec.Order(
+                WorkerCodec.Verb.KILL, entry.getKey(), reported.attempt(), graceS));
       }
     }
     if (completed.size() >= Constants.FORGET_BATCH_TASKS) {
@@ -223,21 +229,25 @@
     // and a worker with a new session, whose tasks ended with its lease, must not be given them
     // again by the record.
     if (!watermark.recent()
-        || !a.claimConfirmed()
-        || a.leaseExpired
-        || a.missesResponses()
-        || view.drains.containsKey(m.name())) {
+        || !worker.claimConfirmed()
+        || worker.leaseExpired
+        || worker.missesResponses()
+        || view.drains.containsKey(machine.name())) {
       return orders;
     }
-    for (Map.Entry<TaskId, Integer> t : m.tasks().entrySet()) {
-      if (a.reported.containsKey(t.getKey())) {
+    for (Map.Entry<TaskId, Integer> entry : machine.tasks().entrySet()) {
+      if (worker.reported.containsKey(entry.getKey())) {
         continue;
       }
-      WorkerSession.PendingLaunch f = a.pendingLaunches.get(t.getKey());
-      boolean open = f == null || reply && f.replyTick == 0 && !a.directCallInProgress;
+      WorkerSession.PendingLaunch launch = worker.pendingLaunches.get(entry.getKey());
+      boolean launchable =
+          launch == null || inResponse && launch.replyTick == 0 && !worker.directCallInProgress;
       // A task that a write in progress removes from the machine must not be launched there again.
-      if (open && !l.inWrite(t.getKey()) && evidence.shouldRun(t.getKey(), t.getValue(), m)) {
-        orders.add(new WorkerCodec.Order(WorkerCodec.Verb.LAUNCH, t.getKey(), t.getValue(), 0));
+      if (launchable
+          && !writer.inWrite(entry.getKey())
+          && evidence.shouldRun(entry.getKey(), entry.getValue(), machine)) {
+        orders.add(
+            new WorkerCodec.Order(WorkerCodec.Verb.LAUNCH, entry.getKey(), entry.getValue(), 0));
       }
     }
     return orders;
@@ -245,104 +255,110 @@
 
   /** Seconds that a task gets to save if it is to be stopped; null if it should keep running. */
   private Double stopGraceS(
-      WorkerSession a,
-      TaskId t,
-      WorkerCodec.ReportedTask s,
-      Machine m,
-      boolean ours,
-      PartitionWriter l) {
-    StateCache.Entry<Job> j = view.jobs.get(t.job());
-    boolean runs = view.runs(t.job());
-    if (!ours || !runs) {
-      return l.inWrite(t) && runs ? null : Double.valueOf(0);
+      WorkerSession worker,
+      TaskId task,
+      WorkerCodec.ReportedTask reported,
+      Machine machine,
+      boolean onRecord,
+      PartitionWriter writer) {
+    StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
+    boolean runs = view.runs(task.job());
+    if (!onRecord || !runs) {
+      return writer.inWrite(task) && runs ? null : Double.valueOf(0);
     }
-    JobSpec spec = j.value().spec();
-    if (!evidence.shouldRun(t, s.attempt(), m)) {
+    JobSpec spec = jobEntry.value().spec();
+    if (!evidence.shouldRun(task, reported.attempt(), machine)) {
       return spec.checkpoints() ? spec.graceS() : 0;
     }
-    if (s.state() == WorkerCodec.State.RUNNING && rounds.target(t, m.name()) != null) {
+    if (reported.state() == WorkerCodec.State.RUNNING
+        && rounds.target(task, machine.name()) != null) {
       return spec.checkpoints() ? spec.graceS() : 0;
     }
-    if (view.cordons.contains(m.name()) && spec.service()) {
+    if (view.cordons.contains(machine.name()) && spec.service()) {
       return 0.0; // drained by an operator: replicas move at once, other tasks may finish
     }
-    boolean leaving = a.noticeUntil > 0 || view.cordons.contains(m.name());
-    if (leaving && spec.checkpoints() && s.state() != WorkerCodec.State.SAVING) {
+    boolean leaving = worker.noticeUntil > 0 || view.cordons.contains(machine.name());
+    if (leaving && spec.checkpoints() && reported.state() != WorkerCodec.State.SAVING) {
       return spec.graceS(); // save before the machine is taken
     }
-    if (a.noticeUntil > 0 && !spec.checkpoints() && !spec.service() && outlastsNotice(a, t, spec)) {
+    if (worker.noticeUntil > 0
+        && !spec.checkpoints()
+        && !spec.service()
+        && outlastsNotice(worker, task, spec)) {
       return 0.0; // the task would be lost later with the machine: restart it elsewhere now
     }
     return null;
   }
 
   /** Whether a task is not expected to end before its machine is taken. */
-  private boolean outlastsNotice(WorkerSession a, TaskId t, JobSpec spec) {
-    Long since = a.launchedAt.get(t);
-    double left = (a.noticeUntil - clock.now()) / 1000.0;
-    double run = since == null ? 0 : (clock.now() - since) / 1000.0;
-    return spec.estimateS() - run > left * Constants.NOTICE_SLACK;
+  private boolean outlastsNotice(WorkerSession worker, TaskId task, JobSpec spec) {
+    Long since = worker.launchedAt.get(task);
+    double remainingS = (worker.noticeUntil - clock.now()) / 1000.0;
+    double runS = since == null ? 0 : (clock.now() - since) / 1000.0;
+    return spec.estimateS() - runS > remainingS * Constants.NOTICE_SLACK;
   }
 
-  private void sendDirect(WorkerSession a, long session, List<WorkerCodec.Order> orders) {
-    long token = a.token();
+  private void sendDirect(WorkerSession worker, long session, List<WorkerCodec.Order> orders) {
+    long token = worker.token();
     List<TaskId> launches = new ArrayList<>();
-    for (WorkerCodec.Order o : orders) {
-      if (o.verb() == WorkerCodec.Verb.LAUNCH) {
-        a.pendingLaunch(o.task()).directToken = token;
-        launches.add(o.task());
+    for (WorkerCodec.Order order : orders) {
+      if (order.verb() == WorkerCodec.Verb.LAUNCH) {
+        worker.pendingLaunch(order.task()).directToken = token;
+        launches.add(order.task());
       }
     }
-    a.directCallInProgress = true;
+    worker.directCallInProgress = true;
     out.orders(
-        a.addr,
+        worker.addr,
         "/orders",
         Json.bytes(WorkerCodec.directOrders(token, session, orders)),
         Constants.ORDERS_TIMEOUT_MS,
-        (status, body) -> directAnswered(a, launches, status, body));
+        (status, body) -> directAnswered(worker, launches, status, body));
   }
 
-  private void directAnswered(WorkerSession a, List<TaskId> launches, int status, byte[] body) {
-    a.directCallInProgress = false;
-    boolean introduced = a.announcingToken;
-    a.announcingToken = false;
-    boolean certain = status == 200 || status == 409 || status == 400 || status == Outbox.NOT_SENT;
-    if (certain) {
-      for (TaskId t : launches) {
-        WorkerSession.PendingLaunch f = a.pendingLaunches.get(t);
-        recordLaunch(a, t);
-        if (f != null) {
-          f.directToken = 0;
-          if (f.resolved()) {
-            a.pendingLaunches.remove(t);
+  private void directAnswered(
+      WorkerSession worker, List<TaskId> launches, int status, byte[] body) {
+    worker.directCallInProgress = false;
+    boolean announced = worker.announcingToken;
+    worker.announcingToken = false;
+    boolean outcomeKnown =
+        status == 200 || status == 409 || status == 400 || status == Outbox.NOT_SENT;
+    if (outcomeKnown) {
+      for (TaskId task : launches) {
+        WorkerSession.PendingLaunch launch = worker.pendingLaunches.get(task);
+        recordLaunch(worker, task);
+        if (launch != null) {
+          launch.directToken = 0;
+          if (launch.resolved()) {
+            worker.pendingLaunches.remove(task);
           }
         }
       }
     } else {
       // The worker may carry out the call minutes later, unless it has seen a higher token by then.
-      a.tokenIncrements++;
+      worker.tokenIncrements++;
     }
     if (status == 200 || status == 409) {
-      reportHandler.handle(a, body);
+      reportHandler.handle(worker, body);
     }
-    if (introduced
+    if (announced
         && status == 409
-        && !a.claimConfirmed()
-        && a.session > 0
-        && !a.directCallInProgress) {
-      sendDirect(a, a.session, List.of()); // the former owner knew another session
+        && !worker.claimConfirmed()
+        && worker.session > 0
+        && !worker.directCallInProgress) {
+      sendDirect(worker, worker.session, List.of()); // the former owner knew another session
     }
   }
 
-  private void recordLaunch(WorkerSession a, TaskId t) {
-    StateCache.Entry<Job> j = view.jobs.get(t.job());
-    boolean first = a.launchedAt.put(t, clock.now()) == null;
-    StateCache.Entry<Machine> machine = view.machines.get(a.name);
-    if (first && machine != null) {
-      replication.launched(machine.value().part(), a.name, t);
+  private void recordLaunch(WorkerSession worker, TaskId task) {
+    StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
+    boolean firstLaunch = worker.launchedAt.put(task, clock.now()) == null;
+    StateCache.Entry<Machine> machine = view.machines.get(worker.name);
+    if (firstLaunch && machine != null) {
+      replication.launched(machine.value().part(), worker.name, task);
     }
-    if (first && j != null) {
-      long waited = Math.max(0, clock.wall() - j.value().acceptedMs());
+    if (firstLaunch && jobEntry != null) {
+      long waited = Math.max(0, clock.wall() - jobEntry.value().acceptedMs());
       launchMs.recordValue(Math.min(waited, Constants.HISTOGRAM_MAX_MS));
     }
   }
--- a/src/main/java/org/baygw/control/workers/WorkerReachability.java
+++ b/src/main/java/org/baygw/control/workers/WorkerReachability.java
@@ -60,13 +60,13 @@
       probeNext();
       return;
     }
-    int own = 0;
-    for (Partition p : membership.partitions()) {
-      if (p.zone().equals(settings.zone()) && membership.owned(p) != 0) {
-        own += view.machinesOf(p).size();
+    int ownMachines = 0;
+    for (Partition partition : membership.partitions()) {
+      if (partition.zone().equals(settings.zone()) && membership.owned(partition) != 0) {
+        ownMachines += view.machinesOf(partition).size();
       }
     }
-    if (own < Constants.CUT_OFF_MIN_MACHINES || !membership.othersReach()) {
+    if (ownMachines < Constants.CUT_OFF_MIN_MACHINES || !membership.othersReach()) {
       lastHeard = clock.now();
     } else if (clock.now() - lastHeard > Constants.CUT_OFF_REPORTS * periodMs()) {
       membership.reaches(false);
@@ -83,9 +83,9 @@
     }
     nextProbe = clock.now() + (long) (periodMs() * Constants.PROBE_INTERVAL_REPORTS);
     List<String> addrs = new ArrayList<>();
-    for (Partition p : membership.partitions()) {
-      if (p.zone().equals(settings.zone())) {
-        view.machinesOf(p).forEach(m -> addrs.add(view.machines.get(m).value().addr()));
+    for (Partition partition : membership.partitions()) {
+      if (partition.zone().equals(settings.zone())) {
+        view.machinesOf(partition).forEach(m -> addrs.add(view.machines.get(m).value().addr()));
       }
     }
     if (addrs.isEmpty()) {
--- a/src/main/java/org/baygw/control/workers/WorkerSession.java
+++ b/src/main/java/org/baygw/control/workers/WorkerSession.java
@@ -108,8 +108,8 @@
     return reportedToken >= claim << Constants.TOKEN_BITS;
   }
 
-  boolean newer(long s, long t) {
-    return s > session || s == session && t > tick;
+  boolean newer(long reportSession, long reportTick) {
+    return reportSession > session || reportSession == session && reportTick > tick;
   }
 
   /**
@@ -118,13 +118,14 @@
    * although it was answered within a lease. Single responses get lost, so the signs add up only
    * within a few leases, and a report with a higher token resets the count.
    */
-  void countMissedResponses(WorkerCodec.Report r, long now, long leaseMs) {
-    boolean ended = session > 0 && r.session() > session && now - lastAnswered < leaseMs;
-    if (r.token() > reportedToken
+  void countMissedResponses(WorkerCodec.Report report, long now, long leaseMs) {
+    boolean sessionEnded =
+        session > 0 && report.session() > session && now - lastAnswered < leaseMs;
+    if (report.token() > reportedToken
         || now - lastMissedResponse > Constants.MISSED_RESPONSE_LEASES * leaseMs) {
       missedResponses = 0;
     }
-    if (ended || probeUnanswered || r.token() < answeredToken) {
+    if (sessionEnded || probeUnanswered || report.token() < answeredToken) {
       missedResponses++;
       lastMissedResponse = now;
     }
@@ -134,8 +135,8 @@
     return missedResponses >= Constants.MISSED_RESPONSES;
   }
 
-  PendingLaunch pendingLaunch(TaskId t) {
-    return pendingLaunches.computeIfAbsent(t, k -> new PendingLaunch());
+  PendingLaunch pendingLaunch(TaskId task) {
+    return pendingLaunches.computeIfAbsent(task, k -> new PendingLaunch());
   }
 
   /**
@@ -146,14 +147,14 @@
     pendingLaunches
         .values()
         .removeIf(
-            f -> {
-              if (f.directToken != 0 && reportedToken > f.directToken) {
-                f.directToken = 0; // the worker now refuses that token
+            launch -> {
+              if (launch.directToken != 0 && reportedToken > launch.directToken) {
+                launch.directToken = 0; // the worker now refuses that token
               }
-              if (checkin && f.replyTick != 0 && tick > f.replyTick) {
-                f.replyTick = 0; // sent after the worker took or dropped the response
+              if (checkin && launch.replyTick != 0 && tick > launch.replyTick) {
+                launch.replyTick = 0; // sent after the worker took or dropped the response
               }
-              return f.resolved();
+              return launch.resolved();
             });
   }
 }
--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -107,8 +107,8 @@
 
   /** Handles a worker's report. */
   public void checkin(long request, byte[] body) {
-    WorkerCodec.Report r = WorkerCodec.decode(Json.parse(body));
-    if (r == null) {
+    WorkerCodec.Report report = WorkerCodec.decode(Json.parse(body));
+    if (report == null) {
       out.answer(
           request,
           400,
@@ -120,7 +120,7 @@
       return;
     }
     if (!store.loaded() || view.partitionsPerZone() == 0) {
-      String likely = membership.likelyOwner(r.machine(), r.zone());
+      String likely = membership.likelyOwner(report.machine(), report.zone());
       if (likely != null) {
         out.answer(request, 421, Json.bytes(WorkerCodec.redirect(likely)));
       } else {
@@ -128,47 +128,47 @@
       }
       return;
     }
-    reachability.heard(r.zone());
-    Partition part = partitionOf(r);
-    long claim = membership.owned(part);
+    reachability.heard(report.zone());
+    Partition partition = partitionOf(report);
+    long claim = membership.owned(partition);
     if (claim == 0) {
-      String owner = membership.owner(part);
-      owner = owner == null ? membership.heir(part) : owner;
+      String owner = membership.owner(partition);
+      owner = owner == null ? membership.heir(partition) : owner;
       boolean other = owner != null && !owner.equals(settings.label());
       out.answer(request, 421, Json.bytes(WorkerCodec.redirect(other ? owner : null)));
       return;
     }
-    WorkerSession a = session(r.machine(), claim);
-    if (r.token() > a.token()) {
+    WorkerSession worker = session(report.machine(), claim);
+    if (report.token() > worker.token()) {
       // The worker has seen the token of a newer claim; a 200 response would only keep it reporting
       // here.
-      onNewerToken(part, a, r);
+      onNewerToken(partition, worker, report);
       out.answer(request, 421, Json.bytes(WorkerCodec.redirect(null)));
       return;
     }
-    if (!a.newer(r.session(), r.tick())
-        || view.drains.get(r.machine()) == StateCache.Drain.GONE
-        || goneMachines.contains(r.machine())) {
+    if (!worker.newer(report.session(), report.tick())
+        || view.drains.get(report.machine()) == StateCache.Drain.GONE
+        || goneMachines.contains(report.machine())) {
       out.answer(
           request,
           503,
           Json.bytes(Json.object().put("error", "outdated report or returned machine")));
       return;
     }
-    a.countMissedResponses(r, clock.now(), evidence.leaseMs());
-    acceptReport(a, r, true);
-    StateCache.Entry<Machine> m = view.machines.get(a.name);
-    PartitionWriter l = writer(part, claim);
-    if (m == null) {
-      register(a, r);
+    worker.countMissedResponses(report, clock.now(), evidence.leaseMs());
+    acceptReport(worker, report, true);
+    StateCache.Entry<Machine> entry = view.machines.get(worker.name);
+    PartitionWriter writer = writer(partition, claim);
+    if (entry == null) {
+      register(worker, report);
     } else {
-      markIfChanged(a, m.value(), l);
+      markIfChanged(worker, entry.value(), writer);
     }
     if (!watermark.recent()) {
       // A 200 response would renew the worker's lease, also for tasks whose cancellation this
       // controller may not know of. Tasks known to be cancelled are still stopped directly.
-      if (m != null) {
-        commands.sendUrgent(a, m.value(), l);
+      if (entry != null) {
+        commands.sendUrgent(worker, entry.value(), writer);
       }
       out.answer(
           request,
@@ -177,11 +177,13 @@
       return;
     }
     List<WorkerCodec.Order> orders =
-        m == null ? List.of() : commands.ordersForReport(a, m.value(), l, r.tick());
-    a.lastAnswered = clock.now();
-    a.leaseExpired = false;
-    a.answeredToken = a.token();
-    out.answerOrders(request, Json.bytes(WorkerCodec.response(a.token(), orders)));
+        entry == null
+            ? List.of()
+            : commands.ordersForReport(worker, entry.value(), writer, report.tick());
+    worker.lastAnswered = clock.now();
+    worker.leaseExpired = false;
+    worker.answeredToken = worker.token();
+    out.answerOrders(request, Json.bytes(WorkerCodec.response(worker.token(), orders)));
   }
 
   public void tick() {
@@ -197,29 +199,29 @@
     lastTick = now;
     reachability.tick();
     commands.beginStep();
-    boolean whole = now >= nextCheck || ownershipChanged();
-    if (whole || view.changes() != checkedChanges) {
+    boolean checkAll = now >= nextCheck || ownershipChanged();
+    if (checkAll || view.changes() != checkedChanges) {
       checkedChanges = view.changes();
       view.takeChangedMachines().forEach(m -> checkMachine(m, true));
-      if (whole) {
+      if (checkAll) {
         nextCheck = now + Constants.MACHINE_CHECK_MS;
-        boolean all = now >= nextFullCheck;
-        nextFullCheck = all ? now + Constants.MACHINE_FULL_CHECK_MS : nextFullCheck;
-        sessions.values().removeIf(a -> !a.recordWriteInProgress && !owns(a));
-        for (Partition p : membership.partitions()) {
-          if (membership.owned(p) != 0) {
-            List.copyOf(view.machinesOf(p)).forEach(m -> checkMachine(m, all));
+        boolean fullCheck = now >= nextFullCheck;
+        nextFullCheck = fullCheck ? now + Constants.MACHINE_FULL_CHECK_MS : nextFullCheck;
+        sessions.values().removeIf(worker -> !worker.recordWriteInProgress && !owns(worker));
+        for (Partition partition : membership.partitions()) {
+          if (membership.owned(partition) != 0) {
+            List.copyOf(view.machinesOf(partition)).forEach(m -> checkMachine(m, fullCheck));
           }
         }
       }
     }
     deadline.tick();
-    for (Partition p : membership.partitions()) {
-      long claim = membership.owned(p);
+    for (Partition partition : membership.partitions()) {
+      long claim = membership.owned(partition);
       if (claim == 0) {
-        writers.remove(p);
+        writers.remove(partition);
       } else {
-        writer(p, claim).writeIfDue();
+        writer(partition, claim).writeIfDue();
       }
     }
   }
@@ -238,62 +240,63 @@
     return changed;
   }
 
-  private void checkMachine(String name, boolean all) {
-    StateCache.Entry<Machine> e = view.machines.get(name);
-    long claim = e == null ? 0 : membership.owned(e.value().part());
+  private void checkMachine(String name, boolean fullCheck) {
+    StateCache.Entry<Machine> entry = view.machines.get(name);
+    long claim = entry == null ? 0 : membership.owned(entry.value().part());
     if (claim == 0) {
       return;
     }
-    Machine m = e.value();
-    WorkerSession a = session(name, claim);
-    if (a.addr.isEmpty()) {
-      a.addr = m.addr();
+    Machine machine = entry.value();
+    WorkerSession worker = session(name, claim);
+    if (worker.addr.isEmpty()) {
+      worker.addr = machine.addr();
     }
-    PartitionWriter l = writer(m.part(), claim);
+    PartitionWriter writer = writer(machine.part(), claim);
     if (view.drains.get(name) == StateCache.Drain.GONE) {
       if (goneMachines.add(name)) {
-        replication.gone(m.part(), name);
+        replication.gone(machine.part(), name);
       }
-      l.dirty(name);
+      writer.dirty(name);
       return;
     }
     // Probe the worker even while its record cannot be written: a network partition may end during
     // an outage of the state service, and the machine must not count as silent afterwards.
-    commands.probe(a);
-    if (evidence.expireLease(a) || all) {
-      markIfChanged(a, m, l);
-      commands.sendUrgent(a, m, l);
-    } else if (condition(a, m) != m.condition()) {
-      markIfChanged(a, m, l);
+    commands.probe(worker);
+    if (evidence.expireLease(worker) || fullCheck) {
+      markIfChanged(worker, machine, writer);
+      commands.sendUrgent(worker, machine, writer);
+    } else if (condition(worker, machine) != machine.condition()) {
+      markIfChanged(worker, machine, writer);
     }
   }
 
-  private Machine.Condition condition(WorkerSession a, Machine m) {
-    if (view.drains.containsKey(m.name())) {
-      return m.condition();
-    } else if (a.sick) {
+  private Machine.Condition condition(WorkerSession worker, Machine machine) {
+    if (view.drains.containsKey(machine.name())) {
+      return machine.condition();
+    } else if (worker.sick) {
       return Machine.Condition.SICK;
-    } else if (commands.silent(a)) {
+    } else if (commands.silent(worker)) {
       // If no other worker was heard recently, this one's silence proves nothing and its recorded
       // condition stays. A machine recorded as SILENT stays so until its worker is heard, or the
       // leader would restart its count of the silence again and again.
-      return a.missesResponses() || reachability.silenceIsConclusive()
+      return worker.missesResponses() || reachability.silenceIsConclusive()
           ? Machine.Condition.SILENT
-          : m.condition();
-    } else if (a.noticeUntil > 0 || view.cordons.contains(m.name())) {
+          : machine.condition();
+    } else if (worker.noticeUntil > 0 || view.cordons.contains(machine.name())) {
       return Machine.Condition.LEAVING;
     }
-    return a.lastHeard > 0 ? Machine.Condition.OK : m.condition();
+    return worker.lastHeard > 0 ? Machine.Condition.OK : machine.condition();
   }
 
   /**
    * Marks the machine for the next write if tasks on it are proved to have ended or its condition
    * has changed.
    */
-  private void markIfChanged(WorkerSession a, Machine m, PartitionWriter l) {
-    a.condition = condition(a, m);
-    if (a.condition != m.condition() || !evidence.endedTasks(a, m).isEmpty()) {
-      l.dirty(m.name());
+  private void markIfChanged(WorkerSession worker, Machine machine, PartitionWriter writer) {
+    worker.condition = condition(worker, machine);
+    if (worker.condition != machine.condition()
+        || !evidence.endedTasks(worker, machine).isEmpty()) {
+      writer.dirty(machine.name());
     }
   }
 
@@ -329,14 +332,14 @@
   }
 
   private List<MachineCapacity> candidates() {
-    List<MachineCapacity> found = new ArrayList<>();
-    for (Partition p : membership.partitions()) {
-      long claim = membership.owned(p);
+    List<MachineCapacity> capacities = new ArrayList<>();
+    for (Partition partition : membership.partitions()) {
+      long claim = membership.owned(partition);
       if (claim != 0) {
-        found.addAll(placer.capacities(p, claim));
+        capacities.addAll(placer.capacities(partition, claim));
       }
     }
-    return found;
+    return capacities;
   }
 
   /**
@@ -345,11 +348,13 @@
    */
   private Map<TaskId, Partition> pendingTasks() {
     Map<TaskId, Partition> found = new LinkedHashMap<>();
-    for (Partition p : membership.partitions()) {
-      long claim = membership.owned(p);
+    for (Partition partition : membership.partitions()) {
+      long claim = membership.owned(partition);
       if (claim != 0) {
-        PartitionWriter l = writer(p, claim);
-        view.unplaced(p).stream().filter(t -> !l.inWrite(t)).forEach(t -> found.put(t, p));
+        PartitionWriter writer = writer(partition, claim);
+        view.unplaced(partition).stream()
+            .filter(t -> !writer.inWrite(t))
+            .forEach(t -> found.put(t, partition));
       }
     }
     return found;
@@ -360,66 +365,68 @@
    * or infinity if the launch time is unknown. 0 for a service replica, which has no work to lose,
    * so that its age never prevents a move.
    */
-  private double ageS(String machine, TaskId t) {
-    if (view.jobs.get(t.job()).value().spec().service()) {
+  private double ageS(String machine, TaskId task) {
+    if (view.jobs.get(task.job()).value().spec().service()) {
       return 0;
     }
-    Long at = sessions.get(machine).launchedAt.get(t);
-    return at == null ? Double.POSITIVE_INFINITY : (clock.now() - at) / 1000.0;
+    Long launchedAt = sessions.get(machine).launchedAt.get(task);
+    return launchedAt == null ? Double.POSITIVE_INFINITY : (clock.now() - launchedAt) / 1000.0;
   }
 
-  private boolean pinned(String machine, TaskId t) {
-    WorkerCodec.ReportedTask s = sessions.get(machine).reported.get(t);
-    return s == null || s.state() != WorkerCodec.State.RUNNING;
+  private boolean pinned(String machine, TaskId task) {
+    WorkerCodec.ReportedTask reported = sessions.get(machine).reported.get(task);
+    return reported == null || reported.state() != WorkerCodec.State.RUNNING;
   }
 
-  private boolean owns(WorkerSession a) {
-    StateCache.Entry<Machine> m = view.machines.get(a.name);
-    return m != null && membership.owned(m.value().part()) == a.claim
-        || clock.now() - a.createdAt < Constants.UNREGISTERED_MS && m == null;
+  private boolean owns(WorkerSession worker) {
+    StateCache.Entry<Machine> entry = view.machines.get(worker.name);
+    return entry != null && membership.owned(entry.value().part()) == worker.claim
+        || clock.now() - worker.createdAt < Constants.UNREGISTERED_MS && entry == null;
   }
 
   /** The session of the machine's worker; null if this controller does not own the machine. */
-  private WorkerSession ownedSession(Machine m) {
-    long claim = membership.owned(m.part());
-    return claim == 0 ? null : session(m.name(), claim);
+  private WorkerSession ownedSession(Machine machine) {
+    long claim = membership.owned(machine.part());
+    return claim == 0 ? null : session(machine.name(), claim);
   }
 
   private WorkerSession session(String machine, long claim) {
-    WorkerSession a = sessions.get(machine);
-    if (a == null || a.claim != claim) {
+    WorkerSession worker = sessions.get(machine);
+    if (worker == null || worker.claim != claim) {
       // State kept under another claim must not count as proof under this one.
-      a = new WorkerSession(machine, claim, clock.now());
-      sessions.put(machine, a);
-      inherit(a);
+      worker = new WorkerSession(machine, claim, clock.now());
+      sessions.put(machine, worker);
+      inherit(worker);
     }
-    return a;
+    return worker;
   }
 
   /**
    * Copies the replicated state of the partition's former owner that is no proof about tasks: the
    * worker's address and session, launch times, failures, and whether the machine is sick.
    */
-  private void inherit(WorkerSession a) {
-    StateCache.Entry<Machine> machine = view.machines.get(a.name);
-    Replication.InheritedWorker known =
-        machine == null ? null : replication.inherited(machine.value().part(), a.name);
-    if (known == null) {
+  private void inherit(WorkerSession worker) {
+    StateCache.Entry<Machine> machine = view.machines.get(worker.name);
+    Replication.InheritedWorker inherited =
+        machine == null ? null : replication.inherited(machine.value().part(), worker.name);
+    if (inherited == null) {
       return;
     }
-    a.addr = known.address();
-    a.expectedSession = known.session();
-    known.launchedAgoMs().forEach((task, ago) -> a.launchedAt.put(task, clock.now() - ago));
-    a.failures.putAll(known.failures());
-    a.sick = known.sick();
+    worker.addr = inherited.address();
+    worker.expectedSession = inherited.session();
+    inherited
+        .launchedAgoMs()
+        .forEach((task, ago) -> worker.launchedAt.put(task, clock.now() - ago));
+    worker.failures.putAll(inherited.failures());
+    worker.sick = inherited.sick();
   }
 
-  private PartitionWriter writer(Partition p, long claim) {
-    PartitionWriter l = writers.get(p);
-    if (l == null || l.claim != claim) {
-      l =
+  private PartitionWriter writer(Partition partition, long claim) {
+    PartitionWriter writer = writers.get(partition);
+    if (writer == null || writer.claim != claim) {
+      writer =
           new PartitionWriter(
-              p,
+              partition,
               claim,
               clock,
               settings,
@@ -429,9 +436,9 @@
               placer,
               rounds,
               new WriterContext(claim));
-      writers.put(p, l);
+      writers.put(partition, writer);
     }
-    return l;
+    return writer;
   }
 
   /**
@@ -450,9 +457,9 @@
     }
 
     @Override
-    public PartitionWriter writer(Partition part) {
-      long held = membership.owned(part);
-      return held == 0 ? null : Workers.this.writer(part, held);
+    public PartitionWriter writer(Partition partition) {
+      long ownedClaim = membership.owned(partition);
+      return ownedClaim == 0 ? null : Workers.this.writer(partition, ownedClaim);
     }
 
     @Override
@@ -461,50 +468,52 @@
     }
   }
 
-  private void onNewerToken(Partition part, WorkerSession a, WorkerCodec.Report r) {
-    if (r.token() >> Constants.TOKEN_BITS > a.claim) {
-      membership.overtaken(part, a.claim);
+  private void onNewerToken(Partition partition, WorkerSession worker, WorkerCodec.Report report) {
+    if (report.token() >> Constants.TOKEN_BITS > worker.claim) {
+      membership.overtaken(partition, worker.claim);
     }
     store.refresh();
   }
 
-  private Partition partitionOf(WorkerCodec.Report r) {
-    return Partition.of(r.machine(), r.zone(), view.partitionsPerZone());
+  private Partition partitionOf(WorkerCodec.Report report) {
+    return Partition.of(report.machine(), report.zone(), view.partitionsPerZone());
   }
 
   /** Applies a report, whether the worker sent it by itself or as the answer to a call. */
-  private void acceptReport(WorkerSession a, WorkerCodec.Report r, boolean checkin) {
-    boolean moved = r.session() != a.session || !r.addr().equals(a.addr);
-    if (r.session() > a.session) {
-      a.pendingLaunches.clear(); // the worker refuses orders for an earlier session
-      a.killSentAt.clear();
+  private void acceptReport(WorkerSession worker, WorkerCodec.Report report, boolean checkin) {
+    boolean addressOrSessionChanged =
+        report.session() != worker.session || !report.addr().equals(worker.addr);
+    if (report.session() > worker.session) {
+      worker.pendingLaunches.clear(); // the worker refuses orders for an earlier session
+      worker.killSentAt.clear();
       // A new session has its full lease from its start, even if none of its reports is answered:
       // tasks launched directly in it live that long.
-      a.lastAnswered = clock.now();
-    }
-    boolean trustedBefore = a.claimConfirmed();
-    a.session = r.session();
-    a.tick = r.tick();
-    a.reportedToken = Math.max(a.reportedToken, r.token());
-    a.addr = r.addr();
-    a.reported = r.tasks();
-    a.lastHeard = clock.now();
-    reachability.heard(r.zone());
-    a.probeUnanswered = false;
-    if (a.claimConfirmed() && !trustedBefore) {
-      a.lastAnswered = clock.now(); // a former owner may have renewed the lease until now
-    }
-    a.noticeUntil = r.noticeS() == null ? 0 : clock.now() + (long) (r.noticeS() * 1000);
-    a.clearResolvedLaunches(checkin);
-    a.killSentAt.keySet().retainAll(r.tasks().keySet());
-    if (moved) {
-      replication.sessionKnown(partitionOf(r), a.name, a.addr, a.session);
-    }
-    for (Iterator<TaskId> it = a.launchedAt.keySet().iterator(); it.hasNext(); ) {
+      worker.lastAnswered = clock.now();
+    }
+    boolean confirmedBefore = worker.claimConfirmed();
+    worker.session = report.session();
+    worker.tick = report.tick();
+    worker.reportedToken = Math.max(worker.reportedToken, report.token());
+    worker.addr = report.addr();
+    worker.reported = report.tasks();
+    worker.lastHeard = clock.now();
+    reachability.heard(report.zone());
+    worker.probeUnanswered = false;
+    if (worker.claimConfirmed() && !confirmedBefore) {
+      worker.lastAnswered = clock.now(); // a former owner may have renewed the lease until now
+    }
+    worker.noticeUntil =
+        report.noticeS() == null ? 0 : clock.now() + (long) (report.noticeS() * 1000);
+    worker.clearResolvedLaunches(checkin);
+    worker.killSentAt.keySet().retainAll(report.tasks().keySet());
+    if (addressOrSessionChanged) {
+      replication.sessionKnown(partitionOf(report), worker.name, worker.addr, worker.session);
+    }
+    for (Iterator<TaskId> it = worker.launchedAt.keySet().iterator(); it.hasNext(); ) {
       TaskId task = it.next();
-      if (!r.tasks().containsKey(task) && !a.pendingLaunches.containsKey(task)) {
+      if (!report.tasks().containsKey(task) && !worker.pendingLaunches.containsKey(task)) {
         it.remove();
-        replication.ended(partitionOf(r), a.name, task);
+        replication.ended(partitionOf(report), worker.name, task);
       }
     }
   }
@@ -514,50 +523,52 @@
    * cannot carry that token if its machine was returned, even by a controller that has crashed
    * since.
    */
-  private void register(WorkerSession a, WorkerCodec.Report r) {
-    if (a.recordWriteInProgress || !a.claimConfirmed()) {
+  private void register(WorkerSession worker, WorkerCodec.Report report) {
+    if (worker.recordWriteInProgress || !worker.claimConfirmed()) {
       return;
     }
-    Partition part = partitionOf(r);
-    Machine m =
+    Partition partition = partitionOf(report);
+    Machine machine =
         new Machine(
-            r.machine(),
-            r.type(),
-            r.zone(),
-            r.spot(),
-            r.addr(),
+            report.machine(),
+            report.type(),
+            report.zone(),
+            report.spot(),
+            report.addr(),
             Machine.Condition.OK,
             Map.of(),
             List.of(),
-            part);
-    a.recordWriteInProgress = true;
+            partition);
+    worker.recordWriteInProgress = true;
     store.settle(
         Store.Urgency.LAUNCH,
         new Txn()
-            .when(Keys.machine(m.name()), 0)
-            .when(Keys.claim(part.toString()), a.claim)
-            .put(Keys.machine(m.name()), Records.machine(m)),
+            .when(Keys.machine(machine.name()), 0)
+            .when(Keys.claim(partition.toString()), worker.claim)
+            .put(Keys.machine(machine.name()), Records.machine(machine)),
         Constants.STATE_TIMEOUT_MS,
-        ok -> a.recordWriteInProgress = false);
+        ok -> worker.recordWriteInProgress = false);
   }
 
   /** Handles a report that a worker sent as the answer to a call of this controller. */
-  private void acceptPolledReport(WorkerSession a, byte[] body) {
-    WorkerCodec.Report r = WorkerCodec.decode(Json.parse(body));
-    if (r == null || !r.machine().equals(a.name) || sessions.get(a.name) != a) {
+  private void acceptPolledReport(WorkerSession worker, byte[] body) {
+    WorkerCodec.Report report = WorkerCodec.decode(Json.parse(body));
+    if (report == null
+        || !report.machine().equals(worker.name)
+        || sessions.get(worker.name) != worker) {
       return;
     }
-    if (r.token() > a.token()) {
-      onNewerToken(partitionOf(r), a, r);
-    } else if (a.newer(r.session(), r.tick()) && !a.leaseExpired) {
-      a.missedResponses = 0; // the worker answered, so messages reach it
-      acceptReport(a, r, false);
-      StateCache.Entry<Machine> e = view.machines.get(a.name);
-      long claim = e == null ? 0 : membership.owned(e.value().part());
-      if (claim == a.claim && claim != 0) {
-        PartitionWriter l = writer(e.value().part(), claim);
-        markIfChanged(a, e.value(), l);
-        commands.sendUrgent(a, e.value(), l);
+    if (report.token() > worker.token()) {
+      onNewerToken(partitionOf(report), worker, report);
+    } else if (worker.newer(report.session(), report.tick()) && !worker.leaseExpired) {
+      worker.missedResponses = 0; // the worker answered, so messages reach it
+      acceptReport(worker, report, false);
+      StateCache.Entry<Machine> entry = view.machines.get(worker.name);
+      long claim = entry == null ? 0 : membership.owned(entry.value().part());
+      if (claim == worker.claim && claim != 0) {
+        PartitionWriter writer = writer(entry.value().part(), claim);
+        markIfChanged(worker, entry.value(), writer);
+        commands.sendUrgent(worker, entry.value(), writer);
       }
     }
   }
