--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -137,7 +137,7 @@
    * Workers to which a new owner announces its token in one tick: each takes a request, and on a
    * small share of a processor the answers must not delay reports.
    */
-  public static final int TOKEN_ANNOUNCEMENTS_PER_STEP = 24;
+  public static final int TOKEN_ANNOUNCEMENTS_PER_TICK = 24;
 
   /** ms between renewals of the hold: three tries within its life. */
   public static final long HOLD_TOUCH_MS = 1_500;
--- a/src/main/java/org/baygw/control/workers/ConsolidationRound.java
+++ b/src/main/java/org/baygw/control/workers/ConsolidationRound.java
@@ -171,7 +171,7 @@
           }
         });
     pending.forEach(
-        (task, part) -> {
+        (task, partition) -> {
           StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
           if (jobEntry != null && jobEntry.value().open()) {
             JobSpec spec = jobEntry.value().spec();
@@ -179,7 +179,7 @@
             for (int target = 0; target < allowed.length; target++) {
               var machine = capacities.get(target).machine();
               allowed[target] =
-                  machine.part().equals(part)
+                  machine.part().equals(partition)
                       && MachineCapacity.allowed(
                           spec, machine.type(), machine.zone(), machine.spot());
             }
--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -86,7 +86,7 @@
     private final Map<Integer, PartitionRecord> copies = new HashMap<>();
     private final Map<Integer, Integer> sizes = new HashMap<>();
     final Set<Integer> changedPages = new LinkedHashSet<>();
-    final Map<String, Map<TaskId, Integer>> taskLists = new LinkedHashMap<>();
+    final Map<String, Map<TaskId, Integer>> tasksOn = new LinkedHashMap<>();
     final Map<Integer, Map<String, TreeMap<Integer, Integer>>> doneTasks = new HashMap<>();
     final Map<Integer, Map<String, TreeMap<Integer, Integer>>> returnedTasks = new HashMap<>();
     final Set<String> handledMachines = new HashSet<>();
@@ -181,7 +181,7 @@
 
     Map<TaskId, Integer> editableTasks(String machine) {
       markChanged(pageOf(machine));
-      return taskLists.computeIfAbsent(machine, k -> new LinkedHashMap<>(view.on(machine)));
+      return tasksOn.computeIfAbsent(machine, k -> new LinkedHashMap<>(view.on(machine)));
     }
 
     void addEnded(
@@ -198,7 +198,7 @@
 
     /** Adds the changed pages to the transaction. */
     Txn buildTxn() {
-      taskLists.forEach(
+      tasksOn.forEach(
           (machine, tasks) -> {
             PartitionRecord record = editable(pageOf(machine));
             if (tasks.isEmpty()) {
@@ -442,13 +442,11 @@
       draft.onSuccess.add(
           () -> placer.failures().taskEnded(partition, worker, task, end.getValue()));
     }
-    Machine.Condition wantedCondition =
-        worker.condition == null ? machine.condition() : worker.condition;
-    String condition = wantedCondition == Machine.Condition.OK ? null : wantedCondition.name();
+    Machine.Condition wanted = worker.condition == null ? machine.condition() : worker.condition;
+    String condition = wanted == Machine.Condition.OK ? null : wanted.name();
     if (gone) {
       condition = null;
-      if ((draft.taskLists.containsKey(name) ? draft.taskLists.get(name) : machine.tasks())
-          .isEmpty()) {
+      if ((draft.tasksOn.containsKey(name) ? draft.tasksOn.get(name) : machine.tasks()).isEmpty()) {
         // One operation stays reserved for the page from which the machine's condition is removed.
         if (draft.txn.writes() < Constants.DELETES_PER_WRITE
             && draft.writes() + 1 < settings.state().txnOps()) {
@@ -465,8 +463,7 @@
         conditions.remove(name);
       } else {
         conditions.put(name, condition);
-        draft.onSuccess.add(
-            () -> LOG.info("machine {}: condition is now {}", name, wantedCondition));
+        draft.onSuccess.add(() -> LOG.info("machine {}: condition is now {}", name, wanted));
       }
     }
   }
@@ -496,7 +493,7 @@
     MachineCapacity capacity = placer.freeCapacity(targetWorker, targetMachine);
     if (capacity == null
         || !capacity.fits(jobEntry.value().spec())
-        || draft.taskLists.containsKey(name)
+        || draft.tasksOn.containsKey(name)
         || targetWriter == this && !draft.canChange(draft.pageOf(name))
         || draft.writes() + MOVE_WRITES > settings.state().txnOps()) {
       return false;
--- a/src/main/java/org/baygw/control/workers/WorkerCommands.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCommands.java
@@ -79,8 +79,8 @@
   }
 
   /** Called at the start of a tick. */
-  void beginStep() {
-    announcementsLeft = Constants.TOKEN_ANNOUNCEMENTS_PER_STEP;
+  void beginTick() {
+    announcementsLeft = Constants.TOKEN_ANNOUNCEMENTS_PER_TICK;
   }
 
   /**
@@ -166,7 +166,7 @@
     List<WorkerCodec.Order> orders = dueOrders(worker, machine, writer, true);
     for (WorkerCodec.Order order : orders) {
       if (order.verb() == WorkerCodec.Verb.LAUNCH) {
-        worker.pendingLaunch(order.task()).replyTick = tick;
+        worker.pendingLaunch(order.task()).reportTick = tick;
         recordLaunch(worker, order.task());
       }
     }
@@ -241,7 +241,7 @@
       }
       WorkerSession.PendingLaunch launch = worker.pendingLaunches.get(entry.getKey());
       boolean launchable =
-          launch == null || inResponse && launch.replyTick == 0 && !worker.directCallInProgress;
+          launch == null || inResponse && launch.reportTick == 0 && !worker.directCallInProgress;
       // A task that a write in progress removes from the machine must not be launched there again.
       if (launchable
           && !writer.inWrite(entry.getKey())
--- a/src/main/java/org/baygw/control/workers/WorkerSession.java
+++ b/src/main/java/org/baygw/control/workers/WorkerSession.java
@@ -15,10 +15,10 @@
     long directToken;
 
     /** Tick of the report whose response carried the launch; 0 if there is none. */
-    long replyTick;
+    long reportTick;
 
     boolean resolved() {
-      return directToken == 0 && replyTick == 0;
+      return directToken == 0 && reportTick == 0;
     }
   }
 
@@ -151,8 +151,8 @@
               if (launch.directToken != 0 && reportedToken > launch.directToken) {
                 launch.directToken = 0; // the worker now refuses that token
               }
-              if (checkin && launch.replyTick != 0 && tick > launch.replyTick) {
-                launch.replyTick = 0; // sent after the worker took or dropped the response
+              if (checkin && launch.reportTick != 0 && tick > launch.reportTick) {
+                launch.reportTick = 0; // sent after the worker took or dropped the response
               }
               return launch.resolved();
             });
--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -198,7 +198,7 @@
     }
     lastTick = now;
     reachability.tick();
-    commands.beginStep();
+    commands.beginTick();
     boolean checkAll = now >= nextCheck || ownershipChanged();
     if (checkAll || view.changes() != checkedChanges) {
       checkedChanges = view.changes();
