--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -322,7 +322,10 @@
    */
   public static final double CUT_OFF_REPORTS = 1.5;
 
-  /** Report periods within which another worker must have been heard for one to count as silent. */
+  /**
+   * Report periods within which another worker must have been heard from for one to count as
+   * silent.
+   */
   public static final double CONCLUSIVE_SILENCE_REPORTS = 0.5;
 
   /**
@@ -341,7 +344,7 @@
   public static final double PROBE_INTERVAL_REPORTS = 0.5;
 
   /**
-   * Report periods within which a worker must have been heard to be sent direct orders or new
+   * Report periods within which a worker must have been heard from to be sent direct orders or new
    * tasks.
    */
   public static final double RECENTLY_HEARD_REPORTS = 2;
--- a/src/main/java/org/baygw/control/workers/TerminationEvidence.java
+++ b/src/main/java/org/baygw/control/workers/TerminationEvidence.java
@@ -86,8 +86,8 @@
             && (reported == null || reported.state() == WorkerCodec.State.ENDED)
             && !worker.pendingLaunches.containsKey(task);
     // A hung machine keeps its tasks after its lease has expired. A task of a cancelled job
-    // therefore stays on record until the machine is heard or returned, or the next owner would not
-    // know of it.
+    // therefore stays on record until its worker is heard from or the machine is returned, or the
+    // next owner would not know of it.
     return absent
             && (worker.leaseExpired
                 ? !view.cancelled(task.job())
--- a/src/main/java/org/baygw/control/workers/WorkerCommands.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCommands.java
@@ -141,7 +141,7 @@
   /**
    * Announces this claim's token to a worker at once, in the session that its former owner knew:
    * from then on the worker accepts no older token, and its reports are proof. Returns true if the
-   * announcement was sent or has to wait for a later tick; false if the worker has been heard
+   * announcement was sent or has to wait for a later tick; false if the worker has been heard from
    * already or cannot be called now.
    */
   private boolean announceToken(WorkerSession worker) {
--- a/src/main/java/org/baygw/control/workers/WorkerReachability.java
+++ b/src/main/java/org/baygw/control/workers/WorkerReachability.java
@@ -35,7 +35,7 @@
     this.membership = membership;
   }
 
-  /** Called when a worker of the zone was heard, whichever controller owns it. */
+  /** Called when a worker of the zone was heard from, whichever controller owns it. */
   void heard(String zone) {
     if (zone.equals(settings.zone())) {
       lastHeard = clock.now();
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Whether one worker's silence is evidence that it is lost: other workers were heard recently, or
-   * this controller owns too few to be judged by them.
+   * Whether one worker's silence is evidence that it is lost: other workers were heard from
+   * recently, or this controller owns too few to be judged by them.
    */
   boolean silenceIsConclusive() {
     return clock.now() - lastHeard <= Constants.CONCLUSIVE_SILENCE_REPORTS * periodMs();
--- a/src/main/java/org/baygw/control/workers/WorkerSession.java
+++ b/src/main/java/org/baygw/control/workers/WorkerSession.java
@@ -42,7 +42,10 @@
   long reportedToken;
   long lastHeard;
   long lastAnswered;
+
+  /** When the machine is taken after a termination notice, in ms of the clock; 0 without one. */
   long noticeUntil;
+
   Map<TaskId, WorkerCodec.ReportedTask> reported = new LinkedHashMap<>();
   final Map<TaskId, PendingLaunch> pendingLaunches = new HashMap<>();
 
@@ -73,7 +76,7 @@
   /** A probe of the worker is in progress. */
   boolean probing;
 
-  /** A probe has failed since the worker was last heard. */
+  /** A probe has failed since the worker was last heard from. */
   boolean probeUnanswered;
 
   long nextProbe;
@@ -152,7 +155,8 @@
                 launch.directToken = 0; // the worker now refuses that token
               }
               if (checkin && launch.reportTick != 0 && tick > launch.reportTick) {
-                launch.reportTick = 0; // sent after the worker took or dropped the response
+                // The worker reports again only after it took or dropped that response.
+                launch.reportTick = 0;
               }
               return launch.resolved();
             });
--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -276,9 +276,9 @@
     } else if (worker.sick) {
       return Machine.Condition.SICK;
     } else if (commands.silent(worker)) {
-      // If no other worker was heard recently, this one's silence proves nothing and its recorded
-      // condition stays. A machine recorded as SILENT stays so until its worker is heard, or the
-      // leader would restart its count of the silence again and again.
+      // If no other worker was heard from recently, this one's silence proves nothing and its
+      // recorded condition stays. A machine recorded as SILENT stays so until its worker is heard
+      // from, or the leader would restart its count of the silence again and again.
       return worker.missesResponses() || reachability.silenceIsConclusive()
           ? Machine.Condition.SILENT
           : machine.condition();
