--- a/src/main/java/org/baygw/control/workers/EndedTasks.java
+++ b/src/main/java/org/baygw/control/workers/EndedTasks.java
@@ -9,45 +9,47 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * The ended tasks on a page of a partition's record: they stand there until their job's progress
- * has them.
+ * The lists of ended tasks on a page of a partition's record, which keeps them until their job's
+ * progress includes them.
  */
 final class EndedTasks {
-  /** Adds tasks of a job to those that a page has already. */
-  static void add(Map<String, String> texts, String job, TreeMap<Integer, Integer> more) {
+  /** Adds tasks of a job to a page's list of ended tasks. */
+  static void add(Map<String, String> texts, String job, TreeMap<Integer, Integer> added) {
     TreeMap<Integer, Integer> all = PartitionRecord.indexes(texts.get(job));
-    all.putAll(more);
+    all.putAll(added);
     texts.put(job, PartitionRecord.indexes(all));
   }
 
-  /** Forgets ended tasks that their job's progress has taken over, or that need none any more. */
-  static void forgetKnown(PartitionRecord r, StateCache view) {
-    forget(
-        r.done(),
-        (job, i, attempt) -> {
-          Progress p = view.written(job, i / Constants.CHUNK_TASKS);
-          return p == null || p.done.get(i);
+  /**
+   * Removes ended tasks that their job's progress includes, or whose job has no progress any more.
+   */
+  static void removeRecorded(PartitionRecord page, StateCache view) {
+    removeMatching(
+        page.done(),
+        (job, index, attempt) -> {
+          Progress progress = view.written(job, index / Constants.CHUNK_TASKS);
+          return progress == null || progress.done.get(index);
         });
-    forget(
-        r.back(),
-        (job, i, attempt) -> {
-          Progress p = view.written(job, i / Constants.CHUNK_TASKS);
-          return p == null || !p.isLive(i, attempt);
+    removeMatching(
+        page.back(),
+        (job, index, attempt) -> {
+          Progress progress = view.written(job, index / Constants.CHUNK_TASKS);
+          return progress == null || !progress.isLive(index, attempt);
         });
   }
 
-  private interface Known {
-    boolean known(String job, int index, int attempt);
+  private interface Recorded {
+    boolean recorded(String job, int index, int attempt);
   }
 
-  private static void forget(Map<String, String> texts, Known known) {
+  private static void removeMatching(Map<String, String> texts, Recorded recorded) {
     for (String job : List.copyOf(texts.keySet())) {
-      TreeMap<Integer, Integer> list = PartitionRecord.indexes(texts.get(job));
-      if (list.entrySet().removeIf(e -> known.known(job, e.getKey(), e.getValue()))) {
-        if (list.isEmpty()) {
+      TreeMap<Integer, Integer> indexes = PartitionRecord.indexes(texts.get(job));
+      if (indexes.entrySet().removeIf(e -> recorded.recorded(job, e.getKey(), e.getValue()))) {
+        if (indexes.isEmpty()) {
           texts.remove(job);
         } else {
-          texts.put(job, PartitionRecord.indexes(list));
+          texts.put(job, PartitionRecord.indexes(indexes));
         }
       }
     }
--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -29,32 +29,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The only writer of a partition's record, under one claim. All that has come up since the last
- * write goes into the next one: tasks proved gone, tasks placed, conditions of machines. A task
- * stands in the record before its launch is sent and until it is proved gone.
+ * The only writer of a partition's record under one claim. Each write combines all changes since
+ * the previous one: tasks proved to have ended, tasks placed, and conditions of machines. A task is
+ * in the record before its launch is sent and until it is proved to have left its machine.
  */
 final class PartitionWriter {
-  /** What the writer asks of the rest. */
-  interface Owner {
-    /** What is known of the worker of one of the partition's machines, or null. */
+  /** Access to worker sessions and to the writers of other partitions. */
+  interface Context {
+    /** The session of the worker on one of the partition's machines, or null. */
     WorkerSession session(String machine);
 
-    /** The writer of another part of this controller, or null. */
-    PartitionWriter writer(Partition part);
+    /** The writer of a partition, or null if this controller does not own it. */
+    PartitionWriter writer(Partition partition);
 
-    /** Tasks were placed, durably. */
+    /** Called once tasks have been durably placed on the machines. */
     void placed(Set<String> machines);
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(PartitionWriter.class);
 
-  /** Changes that a move needs beside its own page: progress, and another partition's page. */
+  /** Writes of a move beside its own page: the job's progress and another partition's page. */
   private static final int MOVE_WRITES = 2;
 
-  /** Conditions of a placing beside pages and jobs: the list of leaving machines. */
+  /** Conditions of a placement beside those on pages and jobs: the list of leaving machines. */
   private static final int OTHER_CONDITIONS = 2;
 
-  final Partition part;
+  final Partition partition;
   final long claim;
   private final Clock clock;
   private final Settings settings;
@@ -63,69 +63,70 @@
   private final TerminationEvidence evidence;
   private final FirstFitPlacer placer;
   private final ConsolidationRound rounds;
-  private final Owner owner;
+  private final Context context;
   private final Set<String> dirty = new LinkedHashSet<>();
 
-  /** Tasks that a write under way would put on machines, or take off. */
-  private final Set<TaskId> moving = new HashSet<>();
+  /** Tasks that a write in progress adds to machines or removes from them. */
+  private final Set<TaskId> tasksInWrite = new HashSet<>();
 
   private boolean queued;
   private boolean writing;
   private long lastWrite = Long.MIN_VALUE / 2;
-  private long nextTry;
+  private long nextPlacement;
   private long seenChanges = -1;
 
   /**
-   * One write in the making: pages of the record as they are to be, and what goes with them. Only
-   * the pages that it asks for are copied, so that a write costs what it changes.
+   * A write being prepared: changed pages of the record, and the other keys that are written with
+   * them. Pages are copied only when needed, so that the cost of a write depends on what it
+   * changes.
    */
-  private final class Draft implements FirstFitPlacer.Space {
-    final Txn txn = new Txn().when(Keys.claim(part.toString()), claim);
-    final int pages = view.pages().count(part);
+  private final class Draft implements FirstFitPlacer.RecordSpace {
+    final Txn txn = new Txn().when(Keys.claim(partition.toString()), claim);
+    final int pages = view.pages().count(partition);
     private final Map<Integer, PartitionRecord> copies = new HashMap<>();
     private final Map<Integer, Integer> sizes = new HashMap<>();
-    final Set<Integer> touched = new LinkedHashSet<>();
-    final Map<String, Map<TaskId, Integer>> lists = new LinkedHashMap<>();
-    final Map<Integer, Map<String, TreeMap<Integer, Integer>>> done = new HashMap<>();
-    final Map<Integer, Map<String, TreeMap<Integer, Integer>>> back = new HashMap<>();
-    final Set<String> handled = new HashSet<>();
+    final Set<Integer> changedPages = new LinkedHashSet<>();
+    final Map<String, Map<TaskId, Integer>> tasksOn = new LinkedHashMap<>();
+    final Map<Integer, Map<String, TreeMap<Integer, Integer>>> doneTasks = new HashMap<>();
+    final Map<Integer, Map<String, TreeMap<Integer, Integer>>> returnedTasks = new HashMap<>();
+    final Set<String> handledMachines = new HashSet<>();
     final Set<String> placedOn = new LinkedHashSet<>();
-    final List<Runnable> after = new ArrayList<>();
-    PartitionWriter target;
+    final List<Runnable> onSuccess = new ArrayList<>();
+    PartitionWriter moveTarget;
 
-    int page(String machine) {
+    int pageOf(String machine) {
       return PartitionRecord.pageOf(machine, pages);
     }
 
-    /** The page as it is to be, without what its jobs' progress has taken over. */
-    PartitionRecord copy(int page) {
+    /** The editable copy of a page, without ended tasks that their progress includes. */
+    PartitionRecord editable(int page) {
       PartitionRecord copy = copies.get(page);
       if (copy == null) {
-        copy = view.pages().get(part, page).copy();
-        EndedTasks.forgetKnown(copy, view);
+        copy = view.pages().get(partition, page).copy();
+        EndedTasks.removeRecorded(copy, view);
         copies.put(page, copy);
       }
       return copy;
     }
 
-    /** Bytes of a page, with what this write adds to it. */
+    /** Size of a page in bytes, with what this write adds to it. */
     int size(int page) {
       Integer known = sizes.get(page);
       if (known == null) {
-        known = view.pages().bytes(part, page);
-        if (known > limit() * Constants.RECORD_FULL) {
-          known = copy(page).size(); // some of it may be forgotten by now
+        known = view.pages().bytes(partition, page);
+        if (known > pageLimitBytes() * Constants.RECORD_FULL_SHARE) {
+          known = editable(page).size(); // the copy leaves out ended tasks that progress includes
         }
         sizes.put(page, known);
       }
       return known;
     }
 
-    /** The page with the fewest bytes, of those that are to be written if there are any. */
-    int emptiest() {
+    /** The page with the fewest bytes, among the changed ones if there are any. */
+    int smallestPage() {
       int best = -1;
       for (int page = 0; page < pages; page++) {
-        if ((touched.isEmpty() || touched.contains(page))
+        if ((changedPages.isEmpty() || changedPages.contains(page))
             && (best < 0 || size(page) < size(best))) {
           best = page;
         }
@@ -134,95 +135,100 @@
     }
 
     int writes() {
-      return txn.writes() + touched.size();
+      return txn.writes() + changedPages.size();
     }
 
     boolean changed() {
       return writes() > 0;
     }
 
-    /** Whether the page goes into this write, or still can: a write has its limits too. */
-    boolean touchable(int page) {
-      if (touched.contains(page)) {
+    /** Whether the page is in this write or fits its limits on pages, bytes and operations. */
+    boolean canChange(int page) {
+      if (changedPages.contains(page)) {
         return true;
       }
       int bytes = size(page);
-      for (int other : touched) {
+      for (int other : changedPages) {
         bytes += size(other);
       }
-      return touched.size() < mostPagesWritten()
+      return changedPages.size() < maxPagesPerWrite()
           && bytes < Constants.MAX_BODY * Constants.RECORD_WRITE_SHARE
           && writes() < settings.state().txnOps();
     }
 
-    void touch(int page) {
-      touched.add(page);
+    void markChanged(int page) {
+      changedPages.add(page);
     }
 
-    /** From this write on the record has so many pages; the first page says so. */
+    /** Sets the number of pages of the record, which is stored on the first page. */
     void setPages(int count) {
-      copies.put(0, copy(0).withPages(count));
+      copies.put(0, editable(0).withPages(count));
     }
 
     @Override
-    public boolean open(String machine) {
-      int page = page(machine);
-      return size(page) < limit() * Constants.RECORD_FULL && touchable(page);
+    public boolean hasSpace(String machine) {
+      int page = pageOf(machine);
+      return size(page) < pageLimitBytes() * Constants.RECORD_FULL_SHARE && canChange(page);
     }
 
     @Override
-    public boolean take(String machine, int bytes) {
-      int page = page(machine);
-      boolean fresh = touched.add(page);
+    public boolean reserve(String machine, int bytes) {
+      int page = pageOf(machine);
+      boolean newlyChanged = changedPages.add(page);
       sizes.put(page, size(page) + bytes);
-      return fresh || !open(machine);
+      return newlyChanged || !hasSpace(machine);
     }
 
-    Map<TaskId, Integer> list(String machine) {
-      touch(page(machine));
-      return lists.computeIfAbsent(machine, k -> new LinkedHashMap<>(view.on(machine)));
+    Map<TaskId, Integer> editableTasks(String machine) {
+      markChanged(pageOf(machine));
+      return tasksOn.computeIfAbsent(machine, k -> new LinkedHashMap<>(view.on(machine)));
     }
 
-    void note(
-        Map<Integer, Map<String, TreeMap<Integer, Integer>>> ended, int page, TaskId t, int value) {
-      touch(page);
+    void addEnded(
+        Map<Integer, Map<String, TreeMap<Integer, Integer>>> ended,
+        int page,
+        TaskId task,
+        int value) {
+      markChanged(page);
       ended
           .computeIfAbsent(page, k -> new HashMap<>())
-          .computeIfAbsent(t.job(), k -> new TreeMap<>())
-          .put(t.index(), value);
+          .computeIfAbsent(task.job(), k -> new TreeMap<>())
+          .put(task.index(), value);
     }
 
-    /** Puts the pages that change into the write. */
-    Txn seal() {
-      lists.forEach(
+    /** Adds the changed pages to the transaction. */
+    Txn buildTxn() {
+      tasksOn.forEach(
           (machine, tasks) -> {
-            PartitionRecord r = copy(page(machine));
+            PartitionRecord record = editable(pageOf(machine));
             if (tasks.isEmpty()) {
-              r.on().remove(machine);
+              record.on().remove(machine);
             } else {
-              r.on().put(machine, PartitionRecord.tasks(tasks));
+              record.on().put(machine, PartitionRecord.tasks(tasks));
             }
           });
-      done.forEach((page, m) -> m.forEach((job, l) -> EndedTasks.add(copy(page).done(), job, l)));
-      back.forEach((page, m) -> m.forEach((job, l) -> EndedTasks.add(copy(page).back(), job, l)));
-      // The first page tells how many there are, and so where each machine stands.
-      txn.when(Keys.record(part, 0), view.stamp(Keys.record(part, 0)));
-      for (int page : touched) {
-        String key = Keys.record(part, page);
-        txn.when(key, view.stamp(key)).put(key, Records.record(copy(page)));
+      doneTasks.forEach(
+          (page, m) -> m.forEach((job, l) -> EndedTasks.add(editable(page).done(), job, l)));
+      returnedTasks.forEach(
+          (page, m) -> m.forEach((job, l) -> EndedTasks.add(editable(page).back(), job, l)));
+      // The first page holds the number of pages, which determines the page of each machine.
+      txn.when(Keys.record(partition, 0), view.stamp(Keys.record(partition, 0)));
+      for (int page : changedPages) {
+        String key = Keys.record(partition, page);
+        txn.when(key, view.stamp(key)).put(key, Records.record(editable(page)));
       }
       return txn;
     }
   }
 
-  /** Pages that go into one write at most: the rest of its changes is for jobs and moves. */
-  private int mostPagesWritten() {
-    int most = (int) Math.ceil(settings.state().txnOps() * Constants.RECORD_WRITE_SHARE);
-    return Math.min(most, view.pages().count(part));
+  /** Maximum number of pages in one write: its other operations are for jobs and moves. */
+  private int maxPagesPerWrite() {
+    int maxPages = (int) Math.ceil(settings.state().txnOps() * Constants.RECORD_WRITE_SHARE);
+    return Math.min(maxPages, view.pages().count(partition));
   }
 
   PartitionWriter(
-      Partition part,
+      Partition partition,
       long claim,
       Clock clock,
       Settings settings,
@@ -231,8 +237,8 @@
       TerminationEvidence evidence,
       FirstFitPlacer placer,
       ConsolidationRound rounds,
-      Owner owner) {
-    this.part = part;
+      Context context) {
+    this.partition = partition;
     this.claim = claim;
     this.clock = clock;
     this.settings = settings;
@@ -241,163 +247,164 @@
     this.evidence = evidence;
     this.placer = placer;
     this.rounds = rounds;
-    this.owner = owner;
+    this.context = context;
   }
 
-  /** Something may have ended on the machine, or its condition changed. */
+  /** Marks a machine on which tasks may have ended or whose condition has changed. */
   void dirty(String machine) {
     dirty.add(machine);
   }
 
-  /** Whether a write under way has to do with the task, so that nothing may be told about it. */
-  boolean moving(TaskId t) {
-    return moving.contains(t);
+  /** Whether a write in progress involves the task: launches and forgets wait for its outcome. */
+  boolean inWrite(TaskId task) {
+    return tasksInWrite.contains(task);
   }
 
-  /** Begins a write if there is anything to write. */
-  void pump() {
+  /** Starts a write if there are changes and no write is in progress. */
+  void writeIfDue() {
     long now = clock.now();
     if (queued || writing) {
       return;
     }
-    boolean place = !view.unplaced(part).isEmpty() && now >= nextTry;
-    if (dirty.isEmpty() && !place) {
+    boolean placementDue = !view.unplaced(partition).isEmpty() && now >= nextPlacement;
+    if (dirty.isEmpty() && !placementDue) {
       return;
     }
-    long pace =
-        Constants.RECORD_PACE_MS + Constants.RECORD_PACE_MS_A_PAGE * (mostPagesWritten() - 1);
-    if (store.scarce() && now < lastWrite + pace) {
-      return; // what ends meanwhile shares the write
+    long minIntervalMs =
+        Constants.RECORD_WRITE_INTERVAL_MS
+            + Constants.RECORD_WRITE_INTERVAL_PER_PAGE_MS * (maxPagesPerWrite() - 1);
+    if (store.scarce() && now < lastWrite + minIntervalMs) {
+      return; // changes until then share the write
     }
     queued = true;
-    Draft[] made = new Draft[1];
+    Draft[] draft = new Draft[1];
     store.settle(
         Store.Urgency.LAUNCH,
         () -> {
-          made[0] = writing ? null : make();
-          if (made[0] == null) {
+          draft[0] = writing ? null : buildDraft();
+          if (draft[0] == null) {
             return null;
           }
           writing = true;
           lastWrite = clock.now();
-          return made[0].txn;
+          return draft[0].txn;
         },
         ok -> {
           queued = false;
-          if (made[0] != null) {
-            written(made[0], ok);
+          if (draft[0] != null) {
+            writeFinished(draft[0], ok);
           }
         });
   }
 
-  private void written(Draft d, boolean ok) {
+  private void writeFinished(Draft draft, boolean ok) {
     writing = false;
-    moving.clear();
-    nextTry = 0;
-    if (d.target != null) {
-      d.target.writing = false;
-      d.target.moving.clear();
+    tasksInWrite.clear();
+    nextPlacement = 0;
+    if (draft.moveTarget != null) {
+      draft.moveTarget.writing = false;
+      draft.moveTarget.tasksInWrite.clear();
     }
     if (ok) {
-      d.after.forEach(Runnable::run);
-      owner.placed(d.placedOn);
+      draft.onSuccess.forEach(Runnable::run);
+      context.placed(draft.placedOn);
     } else {
-      dirty.addAll(d.handled); // to be looked at again
+      dirty.addAll(draft.handledMachines); // to be checked again
     }
   }
 
-  private int limit() {
+  private int pageLimitBytes() {
     return (int) (settings.state().valueKb() * 1024);
   }
 
-  private Draft make() {
-    moving.clear();
-    Draft split = split();
+  private Draft buildDraft() {
+    tasksInWrite.clear();
+    Draft split = splitPages();
     if (split != null) {
       return split;
     }
-    Draft d = new Draft();
+    Draft draft = new Draft();
     for (String name : List.copyOf(dirty)) {
-      int page = d.page(name);
-      if (d.size(page) < limit() - Constants.RECORD_SPARE_BYTES
-          && d.touchable(page)
-          && d.handled.size() < Constants.MACHINES_PER_WRITE) {
+      int page = draft.pageOf(name);
+      if (draft.size(page) < pageLimitBytes() - Constants.RECORD_SPARE_BYTES
+          && draft.canChange(page)
+          && draft.handledMachines.size() < Constants.MACHINES_PER_WRITE) {
         dirty.remove(name);
-        d.handled.add(name);
-        settle(d, name);
+        draft.handledMachines.add(name);
+        applyMachineChanges(draft, name);
       }
     }
-    finish(d);
-    place(d);
-    if (!d.changed()) {
-      nextTry = clock.now() + Constants.PLACE_AGAIN_MS;
-      moving.clear();
+    completeJobs(draft);
+    placeTasks(draft);
+    if (!draft.changed()) {
+      nextPlacement = clock.now() + Constants.PLACEMENT_RETRY_MS;
+      tasksInWrite.clear();
       return null;
     }
-    d.seal();
-    return d;
+    draft.buildTxn();
+    return draft;
   }
 
   /**
-   * Splits pages of a record of which one is crowded, in their order, as many as one write takes
-   * until there are twice as many; null where none is. All pages that change are in one write under
-   * the claim, with the first page's number of pages: whoever reads the record finds each machine
-   * where that number says, before, after and whenever this controller ends. Nothing else goes with
-   * it. There is no bound on the number of pages.
+   * Prepares a write that splits pages in order, as many as it can hold and until their number has
+   * doubled; null if no split is needed. All changed pages are written together under the claim,
+   * with the number of pages on the first one, so that readers find each machine on the page that
+   * the number determines: before the write, after it, and if this controller fails at any time.
+   * The write contains nothing else. The number of pages has no upper bound.
    */
-  private Draft split() {
-    if (!crowded()) {
+  private Draft splitPages() {
+    if (!splitNeeded()) {
       return null;
     }
-    int before = view.pages().count(part);
-    Draft d = new Draft();
-    d.touch(0);
-    int after = before;
-    int bytes = d.size(0);
-    while (after < 2 * before) {
-      int page = PartitionRecord.nextSplit(after);
-      int writes = d.touched.contains(page) ? 1 : 2;
-      bytes += d.touched.contains(page) ? 0 : d.size(page);
-      if (after > before
-          && (d.writes() + writes > settings.state().txnOps()
+    int pagesBefore = view.pages().count(partition);
+    Draft draft = new Draft();
+    draft.markChanged(0);
+    int pagesAfter = pagesBefore;
+    int bytes = draft.size(0);
+    while (pagesAfter < 2 * pagesBefore) {
+      int page = PartitionRecord.nextSplit(pagesAfter);
+      int writes = draft.changedPages.contains(page) ? 1 : 2;
+      bytes += draft.changedPages.contains(page) ? 0 : draft.size(page);
+      if (pagesAfter > pagesBefore
+          && (draft.writes() + writes > settings.state().txnOps()
               || bytes > Constants.MAX_BODY * Constants.RECORD_WRITE_SHARE)) {
         break;
       }
-      d.touch(page);
-      d.touch(after);
-      moveTo(d.copy(page), d.copy(after), after, after + 1);
-      after++;
-    }
-    d.setPages(after);
-    d.seal();
-    LOG.info("{} gets {} pages", part, after);
-    return d;
+      draft.markChanged(page);
+      draft.markChanged(pagesAfter);
+      moveMachines(draft.editable(page), draft.editable(pagesAfter), pagesAfter, pagesAfter + 1);
+      pagesAfter++;
+    }
+    draft.setPages(pagesAfter);
+    draft.buildTxn();
+    LOG.info("{}: splitting its record into {} pages", partition, pagesAfter);
+    return draft;
   }
 
   /**
-   * Whether pages are to be split: one is crowded, and the others are not nearly empty. Pages are
-   * split in their order, so a single one would have all of them split before its turn comes.
+   * Whether to split pages: one is large, and the others are not nearly empty. Pages are split in
+   * order, so a single large page alone would have all pages before it split first.
    */
-  private boolean crowded() {
-    int pages = view.pages().count(part);
-    int most = 0;
-    int sum = 0;
+  private boolean splitNeeded() {
+    int pages = view.pages().count(partition);
+    int maxBytes = 0;
+    int totalBytes = 0;
     for (int page = 0; page < pages; page++) {
-      int bytes = view.pages().onBytes(part, page);
-      most = Math.max(most, bytes);
-      sum += bytes;
+      int bytes = view.pages().onBytes(partition, page);
+      maxBytes = Math.max(maxBytes, bytes);
+      totalBytes += bytes;
     }
-    return most > limit() * Constants.RECORD_CROWDED
-        && sum > pages * limit() * Constants.RECORD_SPLIT_LOAD;
+    return maxBytes > pageLimitBytes() * Constants.RECORD_SPLIT_SHARE
+        && totalBytes > pages * pageLimitBytes() * Constants.RECORD_SPLIT_MEAN_SHARE;
   }
 
-  /** Moves the machines that stand on a new page, of so many, over to it. */
-  private static void moveTo(PartitionRecord from, PartitionRecord to, int page, int pages) {
-    moveTo(from.on(), to.on(), page, pages);
-    moveTo(from.conditions(), to.conditions(), page, pages);
+  /** Moves the machines that belong on a new page to it, given the new number of pages. */
+  private static void moveMachines(PartitionRecord from, PartitionRecord to, int page, int pages) {
+    moveMachines(from.on(), to.on(), page, pages);
+    moveMachines(from.conditions(), to.conditions(), page, pages);
   }
 
-  private static void moveTo(
+  private static void moveMachines(
       Map<String, String> from, Map<String, String> to, int page, int pages) {
     from.entrySet()
         .removeIf(
@@ -410,177 +417,196 @@
             });
   }
 
-  /** Takes what is proved gone off a machine, and notes whether it is fit for more. */
-  private void settle(Draft d, String name) {
-    StateCache.Entry<Machine> e = view.machines.get(name);
-    if (e == null) {
+  /** Removes tasks that are proved to have left a machine, and updates the machine's condition. */
+  private void applyMachineChanges(Draft draft, String name) {
+    StateCache.Entry<Machine> entry = view.machines.get(name);
+    if (entry == null) {
       return;
     }
-    Machine m = e.value();
-    WorkerSession a = owner.session(name);
+    Machine machine = entry.value();
+    WorkerSession worker = context.session(name);
     boolean gone = view.drains.get(name) == StateCache.Drain.GONE;
-    Map<TaskId, TerminationEvidence.End> ends = evidence.ends(a, m);
+    Map<TaskId, TerminationEvidence.End> ends = evidence.endedTasks(worker, machine);
     for (Map.Entry<TaskId, TerminationEvidence.End> end : ends.entrySet()) {
-      TaskId t = end.getKey();
-      int attempt = d.list(name).remove(t);
-      moving.add(t);
-      if (view.grant(t) != null && view.grant(t).attempt() == attempt) {
+      TaskId task = end.getKey();
+      int attempt = draft.editableTasks(name).remove(task);
+      tasksInWrite.add(task);
+      if (view.grant(task) != null && view.grant(task).attempt() == attempt) {
         if (end.getValue() == TerminationEvidence.End.DONE) {
-          d.note(d.done, d.page(name), t, 1);
-        } else if (gone || !move(d, a, t)) {
-          d.note(d.back, d.page(name), t, attempt);
+          draft.addEnded(draft.doneTasks, draft.pageOf(name), task, 1);
+        } else if (gone || !moveTask(draft, worker, task)) {
+          draft.addEnded(draft.returnedTasks, draft.pageOf(name), task, attempt);
         }
       }
-      rounds.drop(t);
-      d.after.add(() -> placer.failures().learn(part, a, t, end.getValue()));
+      rounds.dropMove(task);
+      draft.onSuccess.add(
+          () -> placer.failures().taskEnded(partition, worker, task, end.getValue()));
     }
-    Machine.Condition wanted = a.condition == null ? m.condition() : a.condition;
+    Machine.Condition wanted = worker.condition == null ? machine.condition() : worker.condition;
     String condition = wanted == Machine.Condition.OK ? null : wanted.name();
     if (gone) {
       condition = null;
-      if ((d.lists.containsKey(name) ? d.lists.get(name) : m.tasks()).isEmpty()) {
-        // One change is left for the page that the machine's condition comes off.
-        if (d.txn.writes() < Constants.DELETES_PER_WRITE
-            && d.writes() + 1 < settings.state().txnOps()) {
-          d.txn.delete(Keys.machine(name));
+      if ((draft.tasksOn.containsKey(name) ? draft.tasksOn.get(name) : machine.tasks()).isEmpty()) {
+        // One operation stays reserved for the page from which the machine's condition is removed.
+        if (draft.txn.writes() < Constants.DELETES_PER_WRITE
+            && draft.writes() + 1 < settings.state().txnOps()) {
+          draft.txn.delete(Keys.machine(name));
         } else {
           dirty.add(name);
         }
       }
     }
-    Map<String, String> conditions = d.copy(d.page(name)).conditions();
+    Map<String, String> conditions = draft.editable(draft.pageOf(name)).conditions();
     if (!Objects.equals(condition, conditions.get(name))) {
-      d.touch(d.page(name));
+      draft.markChanged(draft.pageOf(name));
       if (condition == null) {
         conditions.remove(name);
       } else {
         conditions.put(name, condition);
-        d.after.add(() -> LOG.info("{} is {}", name, wanted));
+        draft.onSuccess.add(() -> LOG.info("machine {}: condition is now {}", name, wanted));
       }
     }
   }
 
-  /** A round's move: off this machine and onto the other in one write, under the next attempt. */
-  private boolean move(Draft d, WorkerSession from, TaskId t) {
-    String name = rounds.target(t, from.name);
-    StateCache.Entry<Machine> e = name == null ? null : view.machines.get(name);
-    StateCache.Entry<Job> j = view.jobs.get(t.job());
-    if (e == null || d.target != null || !view.runs(t.job()) || view.grant(t).stop()) {
+  /**
+   * Adds the task to the machine that a round chose, under the next attempt, in the write that
+   * removes it from its present one. Returns false if the move cannot be made now.
+   */
+  private boolean moveTask(Draft draft, WorkerSession from, TaskId task) {
+    String name = rounds.target(task, from.name);
+    StateCache.Entry<Machine> entry = name == null ? null : view.machines.get(name);
+    StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
+    if (entry == null
+        || draft.moveTarget != null
+        || !view.runs(task.job())
+        || view.grant(task).stop()) {
       return false;
     }
-    Machine to = e.value();
-    PartitionWriter there = owner.writer(to.part());
-    WorkerSession a = there == null ? null : there.owner.session(name);
-    if (a == null || there != this && there.writing || !placer.placeable(a, to)) {
+    Machine targetMachine = entry.value();
+    PartitionWriter targetWriter = context.writer(targetMachine.part());
+    WorkerSession targetWorker = targetWriter == null ? null : targetWriter.context.session(name);
+    if (targetWorker == null
+        || targetWriter != this && targetWriter.writing
+        || !placer.placeable(targetWorker, targetMachine)) {
       return false;
     }
-    MachineCapacity r = placer.room(a, to);
-    if (r == null
-        || !r.fits(j.value().spec())
-        || d.lists.containsKey(name)
-        || there == this && !d.touchable(d.page(name))
-        || d.writes() + MOVE_WRITES > settings.state().txnOps()) {
+    MachineCapacity capacity = placer.freeCapacity(targetWorker, targetMachine);
+    if (capacity == null
+        || !capacity.fits(jobEntry.value().spec())
+        || draft.tasksOn.containsKey(name)
+        || targetWriter == this && !draft.canChange(draft.pageOf(name))
+        || draft.writes() + MOVE_WRITES > settings.state().txnOps()) {
       return false;
     }
-    int chunk = t.index() / Constants.CHUNK_TASKS;
-    String progress = Keys.progress(t.job(), chunk);
-    Progress p = view.progress(t.job(), chunk).copy();
-    p.back(t.index());
-    int attempt = p.grant(t.index(), to.part());
-    d.txn
-        .when(progress, view.stamp(progress))
-        .put(progress, Records.progress(p))
-        .when(Keys.drain(to.part()), view.stamp(Keys.drain(to.part())))
-        .when(Keys.job(t.job()), j.stamp());
-    if (there == this) {
-      d.list(name).put(t, attempt);
+    int chunk = task.index() / Constants.CHUNK_TASKS;
+    String progressKey = Keys.progress(task.job(), chunk);
+    Progress progress = view.progress(task.job(), chunk).copy();
+    progress.back(task.index());
+    int attempt = progress.grant(task.index(), targetMachine.part());
+    draft
+        .txn
+        .when(progressKey, view.stamp(progressKey))
+        .put(progressKey, Records.progress(progress))
+        .when(Keys.drain(targetMachine.part()), view.stamp(Keys.drain(targetMachine.part())))
+        .when(Keys.job(task.job()), jobEntry.stamp());
+    if (targetWriter == this) {
+      draft.editableTasks(name).put(task, attempt);
     } else {
-      int page = PartitionRecord.pageOf(name, view.pages().count(to.part()));
-      String first = Keys.record(to.part(), 0);
-      String key = Keys.record(to.part(), page);
-      PartitionRecord next = view.pages().get(to.part(), page).copy();
-      Map<TaskId, Integer> on = new LinkedHashMap<>(view.on(name));
-      on.put(t, attempt);
-      next.on().put(name, PartitionRecord.tasks(on));
-      d.txn
-          .when(first, view.stamp(first))
-          .when(key, view.stamp(key))
-          .when(Keys.claim(to.part().toString()), there.claim)
-          .put(key, Records.record(next));
-      d.target = there;
-      there.writing = true;
-      there.moving.add(t);
-    }
-    d.placedOn.add(name);
+      int page = PartitionRecord.pageOf(name, view.pages().count(targetMachine.part()));
+      String firstPageKey = Keys.record(targetMachine.part(), 0);
+      String pageKey = Keys.record(targetMachine.part(), page);
+      PartitionRecord targetPage = view.pages().get(targetMachine.part(), page).copy();
+      Map<TaskId, Integer> tasksOnTarget = new LinkedHashMap<>(view.on(name));
+      tasksOnTarget.put(task, attempt);
+      targetPage.on().put(name, PartitionRecord.tasks(tasksOnTarget));
+      draft
+          .txn
+          .when(firstPageKey, view.stamp(firstPageKey))
+          .when(pageKey, view.stamp(pageKey))
+          .when(Keys.claim(targetMachine.part().toString()), targetWriter.claim)
+          .put(pageKey, Records.record(targetPage));
+      draft.moveTarget = targetWriter;
+      targetWriter.writing = true;
+      targetWriter.tasksInWrite.add(task);
+    }
+    draft.placedOn.add(name);
     return true;
   }
 
-  /** A job whose last task has ended is done in the same write, and needs no progress any more. */
-  private void finish(Draft d) {
+  /** Marks jobs as done whose last tasks end in this write, and deletes their progress. */
+  private void completeJobs(Draft draft) {
     Map<String, Integer> ended = new LinkedHashMap<>();
-    d.done.values().forEach(m -> m.forEach((job, l) -> ended.merge(job, l.size(), Integer::sum)));
+    draft
+        .doneTasks
+        .values()
+        .forEach(m -> m.forEach((job, l) -> ended.merge(job, l.size(), Integer::sum)));
     for (String job : ended.keySet()) {
-      StateCache.Entry<Job> j = view.jobs.get(job);
-      if (j == null
-          || !j.value().open()
-          || view.done(job) + ended.get(job) < j.value().spec().tasks()) {
+      StateCache.Entry<Job> jobEntry = view.jobs.get(job);
+      if (jobEntry == null
+          || !jobEntry.value().open()
+          || view.done(job) + ended.get(job) < jobEntry.value().spec().tasks()) {
         continue;
       }
-      int writes = 1 + j.value().chunks();
-      if (d.writes() + writes > settings.state().txnOps()) {
-        continue; // the leader finishes it
+      int writes = 1 + jobEntry.value().chunks();
+      if (draft.writes() + writes > settings.state().txnOps()) {
+        continue; // the leader marks the job as done
       }
       LOG.debug(
-          "{} ({}) is done after {} ms, {} tasks of {} s estimated",
+          "job {} ({}) done after {} ms: {} tasks, estimated at {} s each",
           job,
-          j.value().spec().jobClass(),
-          clock.wall() - j.value().acceptedMs(),
-          j.value().spec().tasks(),
-          j.value().spec().estimateS());
-      d.txn.when(Keys.job(job), j.stamp()).put(Keys.job(job), Records.job(j.value().done()));
-      for (int c = 0; c < j.value().chunks(); c++) {
-        d.txn.delete(Keys.progress(job, c));
+          jobEntry.value().spec().jobClass(),
+          clock.wall() - jobEntry.value().acceptedMs(),
+          jobEntry.value().spec().tasks(),
+          jobEntry.value().spec().estimateS());
+      draft
+          .txn
+          .when(Keys.job(job), jobEntry.stamp())
+          .put(Keys.job(job), Records.job(jobEntry.value().done()));
+      for (int chunk = 0; chunk < jobEntry.value().chunks(); chunk++) {
+        draft.txn.delete(Keys.progress(job, chunk));
       }
-      d.done.values().forEach(m -> m.remove(job));
-      d.touched.forEach(page -> d.copy(page).done().remove(job));
-      d.touched.forEach(page -> d.copy(page).back().remove(job));
+      draft.doneTasks.values().forEach(m -> m.remove(job));
+      draft.changedPages.forEach(page -> draft.editable(page).done().remove(job));
+      draft.changedPages.forEach(page -> draft.editable(page).back().remove(job));
     }
   }
 
-  private void place(Draft d) {
-    int conditions =
-        settings.state().txnOps() * 4 - d.txn.conditions() - mostPagesWritten() - OTHER_CONDITIONS;
-    FirstFitPlacer.Plan plan = placer.plan(part, claim, moving, conditions, d);
-    plan.back()
+  private void placeTasks(Draft draft) {
+    int maxConditions =
+        settings.state().txnOps() * 4
+            - draft.txn.conditions()
+            - maxPagesPerWrite()
+            - OTHER_CONDITIONS;
+    FirstFitPlacer.Plan plan = placer.plan(partition, claim, tasksInWrite, maxConditions, draft);
+    plan.returned()
         .forEach(
-            (t, attempt) -> {
-              d.note(d.back, d.emptiest(), t, attempt);
-              moving.add(t);
+            (task, attempt) -> {
+              draft.addEnded(draft.returnedTasks, draft.smallestPage(), task, attempt);
+              tasksInWrite.add(task);
             });
-    if (plan.onto().isEmpty()) {
+    if (plan.placements().isEmpty()) {
       return;
     }
-    // Nothing may come to a machine once its return has been decided.
-    d.txn.when(Keys.drain(part), view.stamp(Keys.drain(part)));
-    plan.onto()
+    // No task may be placed on a machine once its return has been decided.
+    draft.txn.when(Keys.drain(partition), view.stamp(Keys.drain(partition)));
+    plan.placements()
         .forEach(
             (name, tasks) -> {
-              d.list(name).putAll(tasks);
-              moving.addAll(tasks.keySet());
-              d.placedOn.add(name);
-              for (TaskId t : tasks.keySet()) {
+              draft.editableTasks(name).putAll(tasks);
+              tasksInWrite.addAll(tasks.keySet());
+              draft.placedOn.add(name);
+              for (TaskId task : tasks.keySet()) {
                 // The job must not have been cancelled. The grant needs no condition: while the job
-                // is
-                // open only this record takes one back.
-                d.txn.when(Keys.job(t.job()), view.stamp(Keys.job(t.job())));
-                Job j = view.jobs.get(t.job()).value();
+                // is open, only this record can return it.
+                draft.txn.when(Keys.job(task.job()), view.stamp(Keys.job(task.job())));
+                Job job = view.jobs.get(task.job()).value();
                 LOG.debug(
-                    "place {} ({}) on {} after {} ms, image there: {}",
-                    t,
-                    j.spec().jobClass(),
+                    "placing task {} ({}) on {} after {} ms, image cached: {}",
+                    task,
+                    job.spec().jobClass(),
                     name,
-                    clock.wall() - j.acceptedMs(),
-                    view.machines.get(name).value().images().contains(j.spec().image()));
+                    clock.wall() - job.acceptedMs(),
+                    view.machines.get(name).value().images().contains(job.spec().image()));
               }
             });
   }
--- a/src/main/java/org/baygw/control/workers/TaskFailures.java
+++ b/src/main/java/org/baygw/control/workers/TaskFailures.java
@@ -11,18 +11,18 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * What is learnt from tasks that fail. A job whose tasks fail on several machines was submitted
- * with a mistake, most likely, and waits longer and longer between its tries. A machine is sick if
- * it fails several jobs and one of them is known to succeed elsewhere; without that, some mistaken
- * jobs would condemn every machine that they are tried on.
+ * Tracks failed tasks by job and machine. A job whose tasks fail on several machines is most likely
+ * faulty itself, and is retried with exponential backoff. A machine is sick if several jobs fail on
+ * it and one of them is known to succeed elsewhere; without the second condition a few faulty jobs
+ * would make every machine that they are tried on count as sick.
  */
 final class TaskFailures {
-  /** The tries of a job that fails. */
+  /** Retry state of a job whose tasks fail. */
   private static final class Backoff {
     int errors;
     long until;
 
-    /** Machines on which it failed, and until when it is not tried there again. */
+    /** Machines on which the job failed, and until when it is not retried there. */
     final Map<String, Long> machines = new HashMap<>();
   }
 
@@ -37,30 +37,31 @@
     this.view = view;
   }
 
-  /** Whether the job's next try has to wait. */
-  boolean waits(String job) {
+  /** Whether the job's next retry has to wait. */
+  boolean inBackoff(String job) {
     Backoff backoff = backoffs.get(job);
     return backoff != null && clock.now() < backoff.until;
   }
 
-  /** Whether the job is not to be tried on the machine now. */
-  boolean avoids(String job, String machine) {
+  /** Whether the job failed on the machine and must not be retried there yet. */
+  boolean avoidsMachine(String job, String machine) {
     Backoff backoff = backoffs.get(job);
     return backoff != null && backoff.machines.getOrDefault(machine, 0L) > clock.now();
   }
 
-  /** A task has ended on a machine. */
-  void learn(Partition partition, WorkerSession worker, TaskId task, TerminationEvidence.End end) {
-    WorkerCodec.Seen seen = worker.seen.get(task);
+  /** Records how a task ended on a machine. */
+  void taskEnded(
+      Partition partition, WorkerSession worker, TaskId task, TerminationEvidence.End end) {
+    WorkerCodec.ReportedTask reported = worker.reported.get(task);
     if (end == TerminationEvidence.End.DONE) {
       if (!worker.failures.isEmpty()) {
         replication.completed(partition, worker.name);
       }
       worker.failures.clear();
       backoffs.remove(task.job());
-    } else if (seen != null
-        && seen.state() == WorkerCodec.State.ENDED
-        && seen.cause() == WorkerCodec.Cause.ERROR) {
+    } else if (reported != null
+        && reported.state() == WorkerCodec.State.ENDED
+        && reported.cause() == WorkerCodec.Cause.ERROR) {
       worker.failures.merge(task.job(), 1, Integer::sum);
       replication.failed(partition, worker.name, task.job());
       backOff(task.job(), worker.name);
@@ -90,7 +91,8 @@
   }
 
   /**
-   * Whether tasks of the job have completed; of a service, whether it failed on one machine only.
+   * Whether tasks of the job have completed; for a service, whether it failed on one machine at
+   * most.
    */
   private boolean succeeds(String id) {
     StateCache.Entry<Job> job = view.jobs.get(id);
--- a/src/main/java/org/baygw/control/workers/TerminationEvidence.java
+++ b/src/main/java/org/baygw/control/workers/TerminationEvidence.java
@@ -10,12 +10,15 @@
 import org.baygw.control.model.TaskId;
 import org.baygw.control.store.StateCache;
 
-/** What proves that a task is no longer on its machine. */
+/**
+ * Decides whether a task is proved to have left its machine: by a report, an expired lease or the
+ * machine's return to the cloud.
+ */
 final class TerminationEvidence {
   /** How a task left its machine. */
   enum End {
     DONE,
-    BACK
+    NOT_DONE
   }
 
   private final Clock clock;
@@ -32,67 +35,76 @@
     return leaseMs;
   }
 
-  /** Notes it when a worker's session must be over, with all tasks it had; true if it just did. */
-  boolean lease(WorkerSession a) {
-    if (a.trusted()
-        && clock.now() > a.lastAnswered + leaseMs + Constants.LEASE_MARGIN_MS
-        && !a.leaseOver) {
-      // Since it saw our token only our answers count, and the last of them is too old: the worker
-      // has ended its session and all tasks with it. Direct launches need the old session.
-      a.leaseOver = true;
-      a.flights.clear();
-      a.seen = new LinkedHashMap<>();
-      a.session++;
-      a.tick = -1;
+  /**
+   * Marks a worker's lease as expired once its session must have ended with all its tasks; returns
+   * true if it was marked now.
+   */
+  boolean expireLease(WorkerSession worker) {
+    if (worker.claimConfirmed()
+        && clock.now() > worker.lastAnswered + leaseMs + Constants.LEASE_MARGIN_MS
+        && !worker.leaseExpired) {
+      // The worker has seen this claim's token, so that only this controller's responses renew its
+      // lease, and the last of them is too old: the worker has ended its session and all tasks with
+      // it. Direct launches need the old session.
+      worker.leaseExpired = true;
+      worker.pendingLaunches.clear();
+      worker.reported = new LinkedHashMap<>();
+      worker.session++;
+      worker.tick = -1;
       return true;
     }
     return false;
   }
 
-  /** The tasks of the machine's record that are proved gone from it. */
-  Map<TaskId, End> ends(WorkerSession a, Machine m) {
+  /** The recorded tasks of a machine that are proved to have left it. */
+  Map<TaskId, End> endedTasks(WorkerSession worker, Machine machine) {
     Map<TaskId, End> ends = null;
-    for (Map.Entry<TaskId, Integer> t : m.tasks().entrySet()) {
-      End end = end(a, m, t.getKey(), t.getValue());
+    for (Map.Entry<TaskId, Integer> recorded : machine.tasks().entrySet()) {
+      End end = endOf(worker, machine, recorded.getKey(), recorded.getValue());
       if (end != null) {
         ends = ends == null ? new LinkedHashMap<>() : ends;
-        ends.put(t.getKey(), end);
+        ends.put(recorded.getKey(), end);
       }
     }
     return ends == null ? Map.of() : ends;
   }
 
-  /** How one of them is proved gone; null where it is not. */
-  End end(WorkerSession a, Machine m, TaskId t, int attempt) {
-    if (view.drains.get(m.name()) == StateCache.Drain.GONE) {
-      return End.BACK; // the cloud has taken the machine back: nothing on it is left
+  /** How a recorded task left the machine; null if that is not proved. */
+  End endOf(WorkerSession worker, Machine machine, TaskId task, int attempt) {
+    if (view.drains.get(machine.name()) == StateCache.Drain.GONE) {
+      return End.NOT_DONE; // the cloud has taken the machine back with all its tasks
     }
-    WorkerCodec.Seen s = a.seen.get(t);
-    if (s != null && s.attempt() == attempt) {
-      if (s.state() != WorkerCodec.State.ENDED) {
+    WorkerCodec.ReportedTask reported = worker.reported.get(task);
+    if (reported != null && reported.attempt() == attempt) {
+      if (reported.state() != WorkerCodec.State.ENDED) {
         return null;
       }
-      return s.cause() == WorkerCodec.Cause.DONE ? End.DONE : End.BACK;
+      return reported.cause() == WorkerCodec.Cause.DONE ? End.DONE : End.NOT_DONE;
     }
     boolean absent =
-        a.trusted()
-            && (s == null || s.state() == WorkerCodec.State.ENDED)
-            && !a.flights.containsKey(t);
-    // A machine that hangs keeps its tasks whatever its lease says: where the job was cancelled the
-    // task
-    // stays on record until the machine is heard of or returned, or the next owner would not know
-    // of it.
-    return absent && (a.leaseOver ? !view.cancelled(t.job()) : !wanted(t, attempt, m))
-        ? End.BACK
+        worker.claimConfirmed()
+            && (reported == null || reported.state() == WorkerCodec.State.ENDED)
+            && !worker.pendingLaunches.containsKey(task);
+    // A hung machine keeps its tasks after its lease has expired. A task of a cancelled job
+    // therefore stays on record until its worker is heard from or the machine is returned, or the
+    // next owner would not know of it.
+    return absent
+            && (worker.leaseExpired
+                ? !view.cancelled(task.job())
+                : !shouldRun(task, attempt, machine))
+        ? End.NOT_DONE
         : null;
   }
 
-  /** Whether the task is to run on under this attempt. */
-  boolean wanted(TaskId t, int attempt, Machine m) {
-    if (!view.runs(t.job())) {
+  /** Whether the task should keep running on the machine under this attempt. */
+  boolean shouldRun(TaskId task, int attempt, Machine machine) {
+    if (!view.runs(task.job())) {
       return false;
     }
-    Progress.Live l = view.grant(t);
-    return l != null && l.attempt() == attempt && !l.stop() && l.part().equals(m.part());
+    Progress.Live grant = view.grant(task);
+    return grant != null
+        && grant.attempt() == attempt
+        && !grant.stop()
+        && grant.part().equals(machine.part());
   }
 }
--- a/src/main/java/org/baygw/control/workers/WorkerCommands.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCommands.java
@@ -18,12 +18,13 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * What workers are told and asked: launches, kills, forgets, in answers to reports and directly.
+ * Sends orders to workers (launch, kill, forget), in responses to reports and in direct calls, and
+ * probes workers.
  */
 final class WorkerCommands {
-  /** Takes in a report that came as the answer to a call of ours. */
-  interface Heard {
-    void heard(WorkerSession a, byte[] body);
+  /** Handles a report that came as the answer to a call of this controller. */
+  interface ReportHandler {
+    void handle(WorkerSession worker, byte[] body);
   }
 
   private final Clock clock;
@@ -35,11 +36,11 @@
   private final ConsolidationRound rounds;
   private final CancellationWatermark watermark;
   private final Replication replication;
-  private final Heard heard;
+  private final ReportHandler reportHandler;
   private long stalledAt;
 
-  /** Introductions that may still be made in this step. */
-  private int introductions;
+  /** Token announcements that may still be sent in this tick. */
+  private int announcementsLeft;
 
   private final Histogram launchMs =
       new Histogram(Constants.HISTOGRAM_MAX_MS, Constants.HISTOGRAM_DIGITS);
@@ -54,7 +55,7 @@
       ConsolidationRound rounds,
       CancellationWatermark watermark,
       Replication replication,
-      Heard heard) {
+      ReportHandler reportHandler) {
     this.replication = replication;
     this.clock = clock;
     this.out = out;
@@ -64,260 +65,300 @@
     this.placer = placer;
     this.rounds = rounds;
     this.watermark = watermark;
-    this.heard = heard;
+    this.reportHandler = reportHandler;
   }
 
   Histogram launchMs() {
     return launchMs;
   }
 
-  boolean silent(WorkerSession a) {
-    double reports = Constants.LOST_REPORTS * settings.workers().reportS() * 1000;
-    return a.deaf() || a.unanswered && clock.now() - heardAt(a) > reports;
+  boolean silent(WorkerSession worker) {
+    double maxSilenceMs = Constants.LOST_REPORTS * settings.workers().reportS() * 1000;
+    return worker.missesResponses()
+        || worker.probeUnanswered && clock.now() - lastHeardAt(worker) > maxSilenceMs;
   }
 
-  /** A step of the clock begins. */
-  void step() {
-    introductions = Constants.INTRODUCTIONS_A_STEP;
+  /** Called at the start of a tick. */
+  void beginTick() {
+    announcementsLeft = Constants.TOKEN_ANNOUNCEMENTS_PER_TICK;
   }
 
-  /** This controller fell behind: what workers said meanwhile may still wait to be read. */
+  /**
+   * Called after this controller stalled: reports that came meanwhile may not have been read yet.
+   */
   void stalled() {
     stalledAt = clock.now();
   }
 
-  private long heardAt(WorkerSession a) {
-    return Math.max(stalledAt, Math.max(a.lastHeard, a.since));
+  private long lastHeardAt(WorkerSession worker) {
+    return Math.max(stalledAt, Math.max(worker.lastHeard, worker.createdAt));
   }
 
   /**
-   * Asks a worker that has gone quiet, and one that has not seen this claim's token: after a
-   * takeover it may wait seconds for its former owner, and until it has seen the token nothing here
-   * is proved.
+   * Probes a worker that is silent or has not seen this claim's token: after a takeover it may wait
+   * seconds for its former owner, and until it has seen the token none of its reports is proof.
    */
-  void ask(WorkerSession a) {
+  void probe(WorkerSession worker) {
     long now = clock.now();
-    if (a.expectedSession > 0 && introduce(a)) {
+    if (worker.expectedSession > 0 && announceToken(worker)) {
       return;
     }
-    boolean quiet = now - heardAt(a) > Constants.ASK_REPORTS * settings.workers().reportS() * 1000;
-    if (a.asking
-        || a.directBusy
-        || a.addr.isEmpty()
-        || now < a.nextAsk
-        || !quiet && (a.trusted() || a.lastHeard > 0 || now - a.since < Constants.ASK_FIRST_MS)) {
+    boolean quiet =
+        now - lastHeardAt(worker)
+            > Constants.PROBE_AFTER_REPORTS * settings.workers().reportS() * 1000;
+    if (worker.probing
+        || worker.directCallInProgress
+        || worker.addr.isEmpty()
+        || now < worker.nextProbe
+        || !quiet
+            && (worker.claimConfirmed()
+                || worker.lastHeard > 0
+                || now - worker.createdAt < Constants.PROBE_AFTER_TAKEOVER_MS)) {
       return;
     }
-    a.asking = true;
-    a.nextAsk = now + (long) (settings.workers().reportS() * 1000 * Constants.ASK_AGAIN_REPORTS);
+    worker.probing = true;
+    worker.nextProbe =
+        now + (long) (settings.workers().reportS() * 1000 * Constants.PROBE_INTERVAL_REPORTS);
     out.call(
-        a.addr,
+        worker.addr,
         "GET",
         "/show",
         null,
-        Constants.SHOW_TIMEOUT_MS,
+        Constants.PROBE_TIMEOUT_MS,
         (status, body) -> {
-          a.asking = false;
+          worker.probing = false;
           if (status != 200) {
-            a.unanswered = true;
+            worker.probeUnanswered = true;
             return;
           }
-          heard.heard(a, body);
-          if (!a.trusted() && a.session > 0) {
-            direct(a, a.session, List.of());
+          reportHandler.handle(worker, body);
+          if (!worker.claimConfirmed() && worker.session > 0) {
+            sendDirect(worker, worker.session, List.of());
           }
         });
   }
 
   /**
-   * Shows a worker the token of this owner's claim at once, in the session that its former owner
-   * knew: from then on it heeds no other, and what it reports is proof. False where that is to
-   * wait, or the worker has been heard already.
+   * Announces this claim's token to a worker at once, in the session that its former owner knew:
+   * from then on the worker accepts no older token, and its reports are proof. Returns true if the
+   * announcement was sent or has to wait for a later tick; false if the worker has been heard from
+   * already or cannot be called now.
    */
-  private boolean introduce(WorkerSession a) {
-    if (a.lastHeard > 0 || a.directBusy || a.addr.isEmpty()) {
-      a.expectedSession = 0;
+  private boolean announceToken(WorkerSession worker) {
+    if (worker.lastHeard > 0 || worker.directCallInProgress || worker.addr.isEmpty()) {
+      worker.expectedSession = 0;
       return false;
     }
-    if (introductions == 0) {
+    if (announcementsLeft == 0) {
       return true;
     }
-    introductions--;
-    long session = a.expectedSession;
-    a.expectedSession = 0;
-    a.introducing = true;
-    direct(a, session, List.of());
+    announcementsLeft--;
+    long session = worker.expectedSession;
+    worker.expectedSession = 0;
+    worker.announcingToken = true;
+    sendDirect(worker, session, List.of());
     return true;
   }
 
-  /** The commands that go with the answer to a report. */
-  List<WorkerCodec.Order> reply(WorkerSession a, Machine m, PartitionWriter l, long tick) {
-    List<WorkerCodec.Order> orders = orders(a, m, l, true);
-    for (WorkerCodec.Order o : orders) {
-      if (o.verb() == WorkerCodec.Verb.LAUNCH) {
-        a.flight(o.task()).replyTick = tick;
-        launched(a, o.task());
+  /** The orders that go with the response to a report. */
+  List<WorkerCodec.Order> ordersForReport(
+      WorkerSession worker, Machine machine, PartitionWriter writer, long tick) {
+    List<WorkerCodec.Order> orders = dueOrders(worker, machine, writer, true);
+    for (WorkerCodec.Order order : orders) {
+      if (order.verb() == WorkerCodec.Verb.LAUNCH) {
+        worker.pendingLaunch(order.task()).reportTick = tick;
+        recordLaunch(worker, order.task());
       }
     }
     return orders;
   }
 
-  /** Sends at once what should not wait for the next report. */
-  void urgent(WorkerSession a, Machine m, PartitionWriter l) {
-    if (a.directBusy || a.addr.isEmpty() || !a.trusted() || a.leaseOver || !placer.heardLately(a)) {
+  /** Sends orders that should not wait for the next report. */
+  void sendUrgent(WorkerSession worker, Machine machine, PartitionWriter writer) {
+    if (worker.directCallInProgress
+        || worker.addr.isEmpty()
+        || !worker.claimConfirmed()
+        || worker.leaseExpired
+        || !placer.recentlyHeard(worker)) {
       return;
     }
-    List<WorkerCodec.Order> orders = orders(a, m, l, false);
+    List<WorkerCodec.Order> orders = dueOrders(worker, machine, writer, false);
     if (!orders.isEmpty()) {
-      direct(a, a.session, orders);
+      sendDirect(worker, worker.session, orders);
     }
   }
 
-  /** What the worker is to do now, by what it last reported. */
-  private List<WorkerCodec.Order> orders(
-      WorkerSession a, Machine m, PartitionWriter l, boolean reply) {
+  /** The orders for a worker according to its last report and the record. */
+  private List<WorkerCodec.Order> dueOrders(
+      WorkerSession worker, Machine machine, PartitionWriter writer, boolean inResponse) {
     List<WorkerCodec.Order> orders = new ArrayList<>();
     List<WorkerCodec.Order> completed = new ArrayList<>();
-    for (Map.Entry<TaskId, WorkerCodec.Seen> t : a.seen.entrySet()) {
-      WorkerCodec.Seen s = t.getValue();
-      Integer recorded = m.tasks().get(t.getKey());
-      boolean ours = recorded != null && recorded == s.attempt();
-      if (s.state() == WorkerCodec.State.ENDED) {
-        // Only what is durable is forgotten: until then the report is the only record of the end.
-        if (reply && !ours && !l.moving(t.getKey())) {
-          // What did not complete may come here again, and would be refused while this is known.
-          boolean soon = s.cause() != WorkerCodec.Cause.DONE;
-          (soon ? orders : completed)
-              .add(new WorkerCodec.Order(WorkerCodec.Verb.FORGET, t.getKey(), s.attempt(), 0));
+    for (Map.Entry<TaskId, WorkerCodec.ReportedTask> entry : worker.reported.entrySet()) {
+      WorkerCodec.ReportedTask reported = entry.getValue();
+      Integer recordedAttempt = machine.tasks().get(entry.getKey());
+      boolean onRecord = recordedAttempt != null && recordedAttempt == reported.attempt();
+      if (reported.state() == WorkerCodec.State.ENDED) {
+        // A worker may forget an ended task only once its end is durable: until then the report is
+        // the only record of it.
+        if (inResponse && !onRecord && !writer.inWrite(entry.getKey())) {
+          // A task that did not complete may be placed here again, and the worker would refuse it
+          // until it has forgotten this attempt.
+          boolean forgetNow = reported.cause() != WorkerCodec.Cause.DONE;
+          (forgetNow ? orders : completed)
+              .add(
+                  new WorkerCodec.Order(
+                      WorkerCodec.Verb.FORGET, entry.getKey(), reported.attempt(), 0));
         }
         continue;
       }
-      Double grace = grace(a, t.getKey(), s, m, ours, l);
-      Long before = a.killed.get(t.getKey());
-      if (grace != null
-          && (before == null
-              || clock.now() - before > settings.workers().reportS() * 1000 && grace == 0)) {
-        a.killed.put(t.getKey(), clock.now());
-        orders.add(new WorkerCodec.Order(WorkerCodec.Verb.KILL, t.getKey(), s.attempt(), grace));
+      Double graceS = stopGraceS(worker, entry.getKey(), reported, machine, onRecord, writer);
+      Long lastKill = worker.killSentAt.get(entry.getKey());
+      if (graceS != null
+          && (lastKill == null
+              || clock.now() - lastKill > settings.workers().reportS() * 1000 && graceS == 0)) {
+        worker.killSentAt.put(entry.getKey(), clock.now());
+        orders.add(
+            new WorkerCodec.Order(
+                WorkerCodec.Verb.KILL, entry.getKey(), reported.attempt(), graceS));
       }
     }
-    if (completed.size() >= Constants.FORGET_TOGETHER) {
+    if (completed.size() >= Constants.FORGET_BATCH_TASKS) {
       orders.addAll(completed);
     }
-    // Out of touch this owner may not know that a job was cancelled, and a worker that comes with a
-    // new session, its tasks gone with its lease, must not get them by the record once more.
+    // With outdated knowledge of cancellations this owner may not know that a job was cancelled,
+    // and a worker with a new session, whose tasks ended with its lease, must not be given them
+    // again by the record.
     if (!watermark.recent()
-        || !a.trusted()
-        || a.leaseOver
-        || a.deaf()
-        || view.drains.containsKey(m.name())) {
+        || !worker.claimConfirmed()
+        || worker.leaseExpired
+        || worker.missesResponses()
+        || view.drains.containsKey(machine.name())) {
       return orders;
     }
-    for (Map.Entry<TaskId, Integer> t : m.tasks().entrySet()) {
-      if (a.seen.containsKey(t.getKey())) {
+    for (Map.Entry<TaskId, Integer> entry : machine.tasks().entrySet()) {
+      if (worker.reported.containsKey(entry.getKey())) {
         continue;
       }
-      WorkerSession.Flight f = a.flights.get(t.getKey());
-      boolean open = f == null || reply && f.replyTick == 0 && !a.directBusy;
-      // What a write under way takes off the machine must not be started there again.
-      if (open && !l.moving(t.getKey()) && evidence.wanted(t.getKey(), t.getValue(), m)) {
-        orders.add(new WorkerCodec.Order(WorkerCodec.Verb.LAUNCH, t.getKey(), t.getValue(), 0));
+      WorkerSession.PendingLaunch launch = worker.pendingLaunches.get(entry.getKey());
+      boolean launchable =
+          launch == null || inResponse && launch.reportTick == 0 && !worker.directCallInProgress;
+      // A task that a write in progress removes from the machine must not be launched there again.
+      if (launchable
+          && !writer.inWrite(entry.getKey())
+          && evidence.shouldRun(entry.getKey(), entry.getValue(), machine)) {
+        orders.add(
+            new WorkerCodec.Order(WorkerCodec.Verb.LAUNCH, entry.getKey(), entry.getValue(), 0));
       }
     }
     return orders;
   }
 
-  /** Seconds a task gets to save when it is to stop; null if it is to run on. */
-  private Double grace(
-      WorkerSession a, TaskId t, WorkerCodec.Seen s, Machine m, boolean ours, PartitionWriter l) {
-    StateCache.Entry<Job> j = view.jobs.get(t.job());
-    boolean runs = view.runs(t.job());
-    if (!ours || !runs) {
-      return l.moving(t) && runs ? null : Double.valueOf(0);
+  /** Seconds that a task gets to save if it is to be stopped; null if it should keep running. */
+  private Double stopGraceS(
+      WorkerSession worker,
+      TaskId task,
+      WorkerCodec.ReportedTask reported,
+      Machine machine,
+      boolean onRecord,
+      PartitionWriter writer) {
+    StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
+    boolean runs = view.runs(task.job());
+    if (!onRecord || !runs) {
+      return writer.inWrite(task) && runs ? null : Double.valueOf(0);
     }
-    JobSpec spec = j.value().spec();
-    if (!evidence.wanted(t, s.attempt(), m)) {
+    JobSpec spec = jobEntry.value().spec();
+    if (!evidence.shouldRun(task, reported.attempt(), machine)) {
       return spec.checkpoints() ? spec.graceS() : 0;
     }
-    if (s.state() == WorkerCodec.State.RUNNING && rounds.target(t, m.name()) != null) {
+    if (reported.state() == WorkerCodec.State.RUNNING
+        && rounds.target(task, machine.name()) != null) {
       return spec.checkpoints() ? spec.graceS() : 0;
     }
-    if (view.cordons.contains(m.name()) && spec.service()) {
-      return 0.0; // an operator's drain: replicas go elsewhere at once, other tasks may finish
+    if (view.cordons.contains(machine.name()) && spec.service()) {
+      return 0.0; // drained by an operator: replicas move at once, other tasks may finish
     }
-    boolean leaving = a.noticeUntil > 0 || view.cordons.contains(m.name());
-    if (leaving && spec.checkpoints() && s.state() != WorkerCodec.State.SAVING) {
-      return spec.graceS(); // the notice: save while there is time
+    boolean leaving = worker.noticeUntil > 0 || view.cordons.contains(machine.name());
+    if (leaving && spec.checkpoints() && reported.state() != WorkerCodec.State.SAVING) {
+      return spec.graceS(); // save before the machine is taken
     }
-    if (a.noticeUntil > 0 && !spec.checkpoints() && !spec.service() && tooLate(a, t, spec)) {
-      return 0.0; // it would be lost with the machine: better begun anew elsewhere now than then
+    if (worker.noticeUntil > 0
+        && !spec.checkpoints()
+        && !spec.service()
+        && outlastsNotice(worker, task, spec)) {
+      return 0.0; // the task would be lost later with the machine: restart it elsewhere now
     }
     return null;
   }
 
-  /** Whether a task cannot be expected to end before its machine is taken. */
-  private boolean tooLate(WorkerSession a, TaskId t, JobSpec spec) {
-    Long since = a.launched.get(t);
-    double left = (a.noticeUntil - clock.now()) / 1000.0;
-    double run = since == null ? 0 : (clock.now() - since) / 1000.0;
-    return spec.estimateS() - run > left * Constants.NOTICE_SLACK;
+  /** Whether a task is not expected to end before its machine is taken. */
+  private boolean outlastsNotice(WorkerSession worker, TaskId task, JobSpec spec) {
+    Long since = worker.launchedAt.get(task);
+    double remainingS = (worker.noticeUntil - clock.now()) / 1000.0;
+    double runS = since == null ? 0 : (clock.now() - since) / 1000.0;
+    return spec.estimateS() - runS > remainingS * Constants.NOTICE_SLACK;
   }
 
-  private void direct(WorkerSession a, long session, List<WorkerCodec.Order> orders) {
-    long token = a.token();
+  private void sendDirect(WorkerSession worker, long session, List<WorkerCodec.Order> orders) {
+    long token = worker.token();
     List<TaskId> launches = new ArrayList<>();
-    for (WorkerCodec.Order o : orders) {
-      if (o.verb() == WorkerCodec.Verb.LAUNCH) {
-        a.flight(o.task()).directToken = token;
-        launches.add(o.task());
+    for (WorkerCodec.Order order : orders) {
+      if (order.verb() == WorkerCodec.Verb.LAUNCH) {
+        worker.pendingLaunch(order.task()).directToken = token;
+        launches.add(order.task());
       }
     }
-    a.directBusy = true;
+    worker.directCallInProgress = true;
     out.orders(
-        a.addr,
+        worker.addr,
         "/orders",
-        Json.bytes(WorkerCodec.direct(token, session, orders)),
+        Json.bytes(WorkerCodec.directOrders(token, session, orders)),
         Constants.ORDERS_TIMEOUT_MS,
-        (status, body) -> answered(a, launches, status, body));
+        (status, body) -> directAnswered(worker, launches, status, body));
   }
 
-  private void answered(WorkerSession a, List<TaskId> launches, int status, byte[] body) {
-    a.directBusy = false;
-    boolean introduced = a.introducing;
-    a.introducing = false;
-    boolean certain = status == 200 || status == 409 || status == 400 || status == Outbox.NOT_SENT;
-    if (certain) {
-      for (TaskId t : launches) {
-        WorkerSession.Flight f = a.flights.get(t);
-        launched(a, t);
-        if (f != null) {
-          f.directToken = 0;
-          if (f.over()) {
-            a.flights.remove(t);
+  private void directAnswered(
+      WorkerSession worker, List<TaskId> launches, int status, byte[] body) {
+    worker.directCallInProgress = false;
+    boolean announced = worker.announcingToken;
+    worker.announcingToken = false;
+    boolean outcomeKnown =
+        status == 200 || status == 409 || status == 400 || status == Outbox.NOT_SENT;
+    if (outcomeKnown) {
+      for (TaskId task : launches) {
+        WorkerSession.PendingLaunch launch = worker.pendingLaunches.get(task);
+        recordLaunch(worker, task);
+        if (launch != null) {
+          launch.directToken = 0;
+          if (launch.resolved()) {
+            worker.pendingLaunches.remove(task);
           }
         }
       }
     } else {
-      // It may be carried out minutes later. A higher token, once seen there, rules that out.
-      a.raises++;
+      // The worker may carry out the call minutes later, unless it has seen a higher token by then.
+      worker.tokenIncrements++;
     }
     if (status == 200 || status == 409) {
-      heard.heard(a, body);
+      reportHandler.handle(worker, body);
     }
-    if (introduced && status == 409 && !a.trusted() && a.session > 0 && !a.directBusy) {
-      direct(a, a.session, List.of()); // the session was another one than the former owner knew
+    if (announced
+        && status == 409
+        && !worker.claimConfirmed()
+        && worker.session > 0
+        && !worker.directCallInProgress) {
+      sendDirect(worker, worker.session, List.of()); // the former owner knew another session
     }
   }
 
-  private void launched(WorkerSession a, TaskId t) {
-    StateCache.Entry<Job> j = view.jobs.get(t.job());
-    boolean first = a.launched.put(t, clock.now()) == null;
-    StateCache.Entry<Machine> machine = view.machines.get(a.name);
-    if (first && machine != null) {
-      replication.launched(machine.value().part(), a.name, t);
+  private void recordLaunch(WorkerSession worker, TaskId task) {
+    StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
+    boolean firstLaunch = worker.launchedAt.put(task, clock.now()) == null;
+    StateCache.Entry<Machine> machine = view.machines.get(worker.name);
+    if (firstLaunch && machine != null) {
+      replication.launched(machine.value().part(), worker.name, task);
     }
-    if (first && j != null) {
-      long waited = Math.max(0, clock.wall() - j.value().acceptedMs());
+    if (firstLaunch && jobEntry != null) {
+      long waited = Math.max(0, clock.wall() - jobEntry.value().acceptedMs());
       launchMs.recordValue(Math.min(waited, Constants.HISTOGRAM_MAX_MS));
     }
   }
--- a/src/main/java/org/baygw/control/workers/WorkerReachability.java
+++ b/src/main/java/org/baygw/control/workers/WorkerReachability.java
@@ -11,9 +11,10 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * Whether this controller itself reaches the workers of its zone. When all of its own fall silent
- * at once it is likelier cut off from them than they are dead: then others take its partitions, and
- * its workers are not held to be lost. It asks one worker after the other until one answers.
+ * Tracks whether this controller reaches the workers of its zone. If all its own workers fall
+ * silent at once, the controller is more likely cut off than the workers are dead: other
+ * controllers then take over its partitions, and the workers do not count as lost. While cut off,
+ * it probes one worker after the other until one answers.
  */
 final class WorkerReachability {
   private final Clock clock;
@@ -22,8 +23,8 @@
   private final StateCache view;
   private final Membership membership;
   private long lastHeard;
-  private long nextAsk;
-  private int asked;
+  private long nextProbe;
+  private int probeCount;
 
   WorkerReachability(
       Clock clock, Outbox out, Settings settings, StateCache view, Membership membership) {
@@ -34,40 +35,40 @@
     this.membership = membership;
   }
 
-  /** A worker of the zone was heard, whoever owns it. */
+  /** Called when a worker of the zone was heard from, whichever controller owns it. */
   void heard(String zone) {
     if (zone.equals(settings.zone())) {
       lastHeard = clock.now();
     }
   }
 
-  /** This controller fell behind: that it heard nobody meanwhile says nothing. */
+  /** Called after this controller stalled: workers' silence during the stall proves nothing. */
   void stalled() {
     lastHeard = clock.now();
   }
 
   /**
-   * Whether the silence of one worker says something of it: others were heard lately, or there are
-   * few.
+   * Whether one worker's silence is evidence that it is lost: other workers were heard from
+   * recently, or this controller owns too few to be judged by them.
    */
-  boolean sure() {
-    return clock.now() - lastHeard <= Constants.SURE_REPORTS * periodMs();
+  boolean silenceIsConclusive() {
+    return clock.now() - lastHeard <= Constants.CONCLUSIVE_SILENCE_REPORTS * periodMs();
   }
 
   void tick() {
     if (!membership.reaches()) {
-      ask();
+      probeNext();
       return;
     }
-    int own = 0;
-    for (Partition p : membership.partitions()) {
-      if (p.zone().equals(settings.zone()) && membership.owned(p) != 0) {
-        own += view.machinesOf(p).size();
+    int ownMachines = 0;
+    for (Partition partition : membership.partitions()) {
+      if (partition.zone().equals(settings.zone()) && membership.owned(partition) != 0) {
+        ownMachines += view.machinesOf(partition).size();
       }
     }
-    if (own < Constants.UNHEARD_MACHINES || !membership.othersReach()) {
+    if (ownMachines < Constants.CUT_OFF_MIN_MACHINES || !membership.othersReach()) {
       lastHeard = clock.now();
-    } else if (clock.now() - lastHeard > Constants.UNHEARD_REPORTS * periodMs()) {
+    } else if (clock.now() - lastHeard > Constants.CUT_OFF_REPORTS * periodMs()) {
       membership.reaches(false);
     }
   }
@@ -76,15 +77,15 @@
     return settings.workers().reportS() * 1000;
   }
 
-  private void ask() {
-    if (clock.now() < nextAsk) {
+  private void probeNext() {
+    if (clock.now() < nextProbe) {
       return;
     }
-    nextAsk = clock.now() + (long) (periodMs() * Constants.ASK_AGAIN_REPORTS);
+    nextProbe = clock.now() + (long) (periodMs() * Constants.PROBE_INTERVAL_REPORTS);
     List<String> addrs = new ArrayList<>();
-    for (Partition p : membership.partitions()) {
-      if (p.zone().equals(settings.zone())) {
-        view.machinesOf(p).forEach(m -> addrs.add(view.machines.get(m).value().addr()));
+    for (Partition partition : membership.partitions()) {
+      if (partition.zone().equals(settings.zone())) {
+        view.machinesOf(partition).forEach(m -> addrs.add(view.machines.get(m).value().addr()));
       }
     }
     if (addrs.isEmpty()) {
@@ -92,11 +93,11 @@
       return;
     }
     out.call(
-        addrs.get(asked++ % addrs.size()),
+        addrs.get(probeCount++ % addrs.size()),
         "GET",
         "/show",
         null,
-        Constants.SHOW_TIMEOUT_MS,
+        Constants.PROBE_TIMEOUT_MS,
         (status, body) -> {
           if (status == 200) {
             lastHeard = clock.now();
--- a/src/main/java/org/baygw/control/workers/WorkerSession.java
+++ b/src/main/java/org/baygw/control/workers/WorkerSession.java
@@ -7,137 +7,158 @@
 import org.baygw.control.model.Machine;
 import org.baygw.control.model.TaskId;
 
-/** What a partition's owner knows of one worker, in memory only and for one claim only. */
+/** State that a partition's owner keeps of one worker, in memory only and for one claim only. */
 final class WorkerSession {
-  /** A launch that may still take effect. */
-  static final class Flight {
-    /** Highest token of a direct launch without an answer; 0: none. */
+  /** A launch order that the worker may still carry out. */
+  static final class PendingLaunch {
+    /** Highest token of a direct launch without an answer; 0 if there is none. */
     long directToken;
 
-    /** Tick of the report whose response carried the launch; 0: none. */
-    long replyTick;
+    /** Tick of the report whose response carried the launch; 0 if there is none. */
+    long reportTick;
 
-    boolean over() {
-      return directToken == 0 && replyTick == 0;
+    boolean resolved() {
+      return directToken == 0 && reportTick == 0;
     }
   }
 
   final String name;
   final long claim;
-  final long since;
-  int raises;
+  final long createdAt;
+  int tokenIncrements;
   String addr = "";
   long session;
 
-  /** The session that a former owner knew of, until this owner has asked; 0: none. */
+  /**
+   * The worker's session as a former owner knew it, until this owner has announced its token; 0 if
+   * there is none.
+   */
   long expectedSession;
 
-  /** This owner is showing the worker its token for the first time. */
-  boolean introducing;
+  /** A call that announces this claim's token to the worker is in progress. */
+  boolean announcingToken;
 
   long tick;
-  long seenToken;
+  long reportedToken;
   long lastHeard;
   long lastAnswered;
+
+  /** When the machine is taken after a termination notice, in ms of the clock; 0 without one. */
   long noticeUntil;
-  Map<TaskId, WorkerCodec.Seen> seen = new LinkedHashMap<>();
-  final Map<TaskId, Flight> flights = new HashMap<>();
 
-  /** When this owner launched what is on the machine; tasks it did not launch have no known age. */
-  final Map<TaskId, Long> launched = new HashMap<>();
+  Map<TaskId, WorkerCodec.ReportedTask> reported = new LinkedHashMap<>();
+  final Map<TaskId, PendingLaunch> pendingLaunches = new HashMap<>();
+
+  /**
+   * Launch times of tasks on the machine, in ms of this controller's clock; tasks without one have
+   * no known age.
+   */
+  final Map<TaskId, Long> launchedAt = new HashMap<>();
 
-  final Map<TaskId, Long> killed = new HashMap<>();
+  final Map<TaskId, Long> killSentAt = new HashMap<>();
 
-  /** Tasks that failed here since one last completed, by job. */
+  /** Number of tasks that failed here since one last completed, by job. */
   final Map<String, Integer> failures = new HashMap<>();
 
   boolean sick;
 
   /**
-   * What its partition's record is to say of the machine; null as long as this owner has not
-   * looked.
+   * Condition of the machine to be written to its partition's record; null until this owner has
+   * checked the machine.
    */
   Machine.Condition condition;
 
-  /** A change of this machine's own record is under way. */
-  boolean busy;
+  /** A write of the machine's own record is in progress. */
+  boolean recordWriteInProgress;
 
-  boolean directBusy;
+  boolean directCallInProgress;
 
-  /** A question to the worker is under way, or was not answered since it was last heard. */
-  boolean asking;
+  /** A probe of the worker is in progress. */
+  boolean probing;
 
-  boolean unanswered;
-  long nextAsk;
-  boolean leaseOver;
+  /** A probe has failed since the worker was last heard from. */
+  boolean probeUnanswered;
 
-  /** Highest token that an answer of ours carried, and reports in a row that did not show it. */
+  long nextProbe;
+  boolean leaseExpired;
+
+  /** Highest token sent in a response to a report. */
   long answeredToken;
 
-  int unheeded;
-  long lastUnheeded;
+  /** Recent signs that responses do not reach the worker. */
+  int missedResponses;
+
+  long lastMissedResponse;
 
   WorkerSession(String name, long claim, long now) {
     this.name = name;
     this.claim = claim;
-    this.since = now;
+    this.createdAt = now;
   }
 
-  /** Grows with the claim and, within a claim, with every raise. */
+  /**
+   * The fencing token for orders: grows with the claim and, within a claim, with every increment.
+   */
   long token() {
-    return claim << Constants.TOKEN_BITS | raises;
+    return claim << Constants.TOKEN_BITS | tokenIncrements;
   }
 
-  /** Whether the worker takes commands from this claim only, so that nobody else's can count. */
-  boolean trusted() {
-    return seenToken >= claim << Constants.TOKEN_BITS;
+  /**
+   * Whether the worker has reported a token of this claim, so that it refuses the orders of older
+   * claims.
+   */
+  boolean claimConfirmed() {
+    return reportedToken >= claim << Constants.TOKEN_BITS;
   }
 
-  boolean newer(long s, long t) {
-    return s > session || s == session && t > tick;
+  boolean newer(long reportSession, long reportTick) {
+    return reportSession > session || reportSession == session && reportTick > tick;
   }
 
   /**
-   * Counts the signs that our answers do not reach a worker whose reports reach us: it does not
-   * show the token that they carried, it reports again after it did not answer when asked, or its
-   * sessions end though they were answered in time. Now and then one is lost, so they count
-   * together only within a few leases, and a higher token shown ends the count.
+   * Counts signs that responses do not reach a worker whose reports arrive: it does not report the
+   * token that they carried, it reports again after it did not answer a probe, or its session ends
+   * although it was answered within a lease. Single responses get lost, so the signs add up only
+   * within a few leases, and a report with a higher token resets the count.
    */
-  void heed(WorkerCodec.Report r, long now, long leaseMs) {
-    boolean ended = session > 0 && r.session() > session && now - lastAnswered < leaseMs;
-    if (r.token() > seenToken || now - lastUnheeded > Constants.DEAF_LEASES * leaseMs) {
-      unheeded = 0;
+  void countMissedResponses(WorkerCodec.Report report, long now, long leaseMs) {
+    boolean sessionEnded =
+        session > 0 && report.session() > session && now - lastAnswered < leaseMs;
+    if (report.token() > reportedToken
+        || now - lastMissedResponse > Constants.MISSED_RESPONSE_LEASES * leaseMs) {
+      missedResponses = 0;
     }
-    if (ended || unanswered || r.token() < answeredToken) {
-      unheeded++;
-      lastUnheeded = now;
+    if (sessionEnded || probeUnanswered || report.token() < answeredToken) {
+      missedResponses++;
+      lastMissedResponse = now;
     }
   }
 
-  boolean deaf() {
-    return unheeded >= Constants.DEAF_REPORTS;
+  boolean missesResponses() {
+    return missedResponses >= Constants.MISSED_RESPONSES;
   }
 
-  Flight flight(TaskId t) {
-    return flights.computeIfAbsent(t, k -> new Flight());
+  PendingLaunch pendingLaunch(TaskId task) {
+    return pendingLaunches.computeIfAbsent(task, k -> new PendingLaunch());
   }
 
   /**
-   * A late launch must never find its worker after the task went elsewhere: a flight ends only when
-   * the worker can no longer carry it out.
+   * Removes the launches that the worker can no longer carry out. Until then a launch stays
+   * pending, since it must never take effect late, after the task was placed on another machine.
    */
-  void endFlights(boolean checkin) {
-    flights
+  void clearResolvedLaunches(boolean checkin) {
+    pendingLaunches
         .values()
         .removeIf(
-            f -> {
-              if (f.directToken != 0 && seenToken > f.directToken) {
-                f.directToken = 0; // the worker now refuses that token
+            launch -> {
+              if (launch.directToken != 0 && reportedToken > launch.directToken) {
+                launch.directToken = 0; // the worker now refuses that token
               }
-              if (checkin && f.replyTick != 0 && tick > f.replyTick) {
-                f.replyTick = 0; // it reports again only after it took or dropped that response
+              if (checkin && launch.reportTick != 0 && tick > launch.reportTick) {
+                // The worker reports again only after it took or dropped that response.
+                launch.reportTick = 0;
               }
-              return f.over();
+              return launch.resolved();
             });
   }
 }
--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -31,9 +31,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The owner's side of the workers: reports in, commands out. What is proved of a task is in {@link
- * Proofs}, what is said to workers in {@link WorkerCommands}, where tasks go in {@link
- * FirstFitPlacer} and {@link Rounds}, and a partition's durable record in {@link PartitionWriter}.
+ * Handles the workers of the partitions that this controller owns: processes their reports and
+ * sends them orders. {@link TerminationEvidence} proves that tasks have ended, {@link
+ * WorkerCommands} composes and sends orders, {@link FirstFitPlacer} and {@link ConsolidationRound}
+ * choose machines for tasks, and {@link PartitionWriter} writes a partition's durable record.
  */
 public final class Workers {
   private static final Logger LOG = LoggerFactory.getLogger(Workers.class);
@@ -49,8 +50,8 @@
   private final Map<String, WorkerSession> sessions = new HashMap<>();
   private final Map<Partition, PartitionWriter> writers = new HashMap<>();
 
-  /** Machines the cloud has taken back: a late report must not bring one to life again. */
-  private final Set<String> buried = new HashSet<>();
+  /** Machines that the cloud has taken back; a late report must not register one again. */
+  private final Set<String> goneMachines = new HashSet<>();
 
   private final ConsolidationRound rounds = new ConsolidationRound();
   private final TerminationEvidence evidence;
@@ -58,13 +59,13 @@
   private final WorkerCommands commands;
   private final WorkerReachability reachability;
   private final CancellationDeadline deadline;
-  private long nextPass;
-  private long seenChanges = -1;
-  private long nextAll;
+  private long nextCheck;
+  private long checkedChanges = -1;
+  private long nextFullCheck;
   private long lastTick;
 
-  /** The sum of the stamps of all partitions that this controller owned at the last step. */
-  private long ownedStamps;
+  /** Sum of the claim stamps of all partitions that this controller owned at the last tick. */
+  private long ownedStampSum;
 
   public Workers(
       Clock clock,
@@ -88,7 +89,7 @@
     this.evidence = new TerminationEvidence(clock, settings, view);
     this.deadline =
         new CancellationDeadline(
-            clock, settings, view, membership, evidence, cloud, watermark, this::owned);
+            clock, settings, view, membership, evidence, cloud, watermark, this::ownedSession);
     this.placer = new FirstFitPlacer(clock, settings, view, sessions, rounds, replication);
     this.commands =
         new WorkerCommands(
@@ -101,72 +102,88 @@
             rounds,
             watermark,
             replication,
-            this::heard);
+            this::acceptPolledReport);
   }
 
-  /** A worker's report. */
+  /** Handles a worker's report. */
   public void checkin(long request, byte[] body) {
-    WorkerCodec.Report r = WorkerCodec.decode(Json.parse(body));
-    if (r == null) {
-      out.answer(request, 400, Json.bytes(Json.object().put("error", "no report")));
+    WorkerCodec.Report report = WorkerCodec.decode(Json.parse(body));
+    if (report == null) {
+      out.answer(
+          request,
+          400,
+          Json.bytes(
+              Json.object()
+                  .put(
+                      "error",
+                      "malformed report: host, yard, stint or tick is missing or invalid")));
       return;
     }
     if (!store.loaded() || view.partitionsPerZone() == 0) {
-      String likely = membership.likelyOwner(r.machine(), r.zone());
+      String likely = membership.likelyOwner(report.machine(), report.zone());
       if (likely != null) {
-        out.answer(request, 421, Json.bytes(WorkerCodec.home(likely)));
+        out.answer(request, 421, Json.bytes(WorkerCodec.redirect(likely)));
       } else {
-        out.answer(request, 503, Json.bytes(Json.object().put("error", "not read in yet")));
+        out.answer(request, 503, Json.bytes(Json.object().put("error", "state not loaded yet")));
       }
       return;
     }
-    reachability.heard(r.zone());
-    Partition part = partitionOf(r);
-    long claim = membership.owned(part);
+    reachability.heard(report.zone());
+    Partition partition = partitionOf(report);
+    long claim = membership.owned(partition);
     if (claim == 0) {
-      String owner = membership.owner(part);
-      owner = owner == null ? membership.heir(part) : owner;
+      String owner = membership.owner(partition);
+      owner = owner == null ? membership.heir(partition) : owner;
       boolean other = owner != null && !owner.equals(settings.label());
-      out.answer(request, 421, Json.bytes(WorkerCodec.home(other ? owner : null)));
+      out.answer(request, 421, Json.bytes(WorkerCodec.redirect(other ? owner : null)));
       return;
     }
-    WorkerSession a = session(r.machine(), claim);
-    if (r.token() > a.token()) {
-      // Someone with a newer claim speaks to it; a 200 of ours would only hold it here.
-      overtaken(part, a, r);
-      out.answer(request, 421, Json.bytes(WorkerCodec.home(null)));
+    WorkerSession worker = session(report.machine(), claim);
+    if (report.token() > worker.token()) {
+      // The worker has seen the token of a newer claim; a 200 response would only keep it reporting
+      // here.
+      onNewerToken(partition, worker, report);
+      out.answer(request, 421, Json.bytes(WorkerCodec.redirect(null)));
       return;
     }
-    if (!a.newer(r.session(), r.tick())
-        || view.drains.get(r.machine()) == StateCache.Drain.GONE
-        || buried.contains(r.machine())) {
-      out.answer(request, 503, Json.bytes(Json.object().put("error", "an old report")));
+    if (!worker.newer(report.session(), report.tick())
+        || view.drains.get(report.machine()) == StateCache.Drain.GONE
+        || goneMachines.contains(report.machine())) {
+      out.answer(
+          request,
+          503,
+          Json.bytes(Json.object().put("error", "outdated report or returned machine")));
       return;
     }
-    a.heed(r, clock.now(), evidence.leaseMs());
-    take(a, r, true);
-    StateCache.Entry<Machine> m = view.machines.get(a.name);
-    PartitionWriter l = writer(part, claim);
-    if (m == null) {
-      register(a, r);
+    worker.countMissedResponses(report, clock.now(), evidence.leaseMs());
+    acceptReport(worker, report, true);
+    StateCache.Entry<Machine> entry = view.machines.get(worker.name);
+    PartitionWriter writer = writer(partition, claim);
+    if (entry == null) {
+      register(worker, report);
     } else {
-      settle(a, m.value(), l);
+      markIfChanged(worker, entry.value(), writer);
     }
     if (!watermark.recent()) {
-      // A 200 would let the worker keep tasks of which this controller cannot know that they were
-      // cancelled; what is known to be cancelled is stopped directly all the same.
-      if (m != null) {
-        commands.urgent(a, m.value(), l);
+      // A 200 response would renew the worker's lease, also for tasks whose cancellation this
+      // controller may not know of. Tasks known to be cancelled are still stopped directly.
+      if (entry != null) {
+        commands.sendUrgent(worker, entry.value(), writer);
       }
-      out.answer(request, 503, Json.bytes(Json.object().put("error", "out of touch")));
+      out.answer(
+          request,
+          503,
+          Json.bytes(Json.object().put("error", "knowledge of cancellations is out of date")));
       return;
     }
     List<WorkerCodec.Order> orders =
-        m == null ? List.of() : commands.reply(a, m.value(), l, r.tick());
-    a.lastAnswered = clock.now();
-    a.leaseOver = false;
-    a.answeredToken = a.token();
-    out.answerOrders(request, Json.bytes(WorkerCodec.response(a.token(), orders)));
+        entry == null
+            ? List.of()
+            : commands.ordersForReport(worker, entry.value(), writer, report.tick());
+    worker.lastAnswered = clock.now();
+    worker.leaseExpired = false;
+    worker.answeredToken = worker.token();
+    out.answerOrders(request, Json.bytes(WorkerCodec.response(worker.token(), orders)));
   }
 
   public void tick() {
@@ -177,100 +194,109 @@
     if (lastTick > 0 && now - lastTick > Constants.STALL_MS) {
       commands.stalled();
       reachability.stalled();
-      LOG.info("fell behind by {} ms", now - lastTick);
+      LOG.info("tick delayed: {} ms since the previous one", now - lastTick);
     }
     lastTick = now;
     reachability.tick();
-    commands.step();
-    boolean whole = now >= nextPass || ownershipChanged();
-    if (whole || view.changes() != seenChanges) {
-      seenChanges = view.changes();
-      view.takeChangedMachines().forEach(m -> lookAt(m, true));
-      if (whole) {
-        nextPass = now + Constants.LOOK_MS;
-        boolean all = now >= nextAll;
-        nextAll = all ? now + Constants.LOOK_ALL_MS : nextAll;
-        sessions.values().removeIf(a -> !a.busy && !owns(a));
-        for (Partition p : membership.partitions()) {
-          if (membership.owned(p) != 0) {
-            List.copyOf(view.machinesOf(p)).forEach(m -> lookAt(m, all));
+    commands.beginTick();
+    boolean checkAll = now >= nextCheck || ownershipChanged();
+    if (checkAll || view.changes() != checkedChanges) {
+      checkedChanges = view.changes();
+      view.takeChangedMachines().forEach(m -> checkMachine(m, true));
+      if (checkAll) {
+        nextCheck = now + Constants.MACHINE_CHECK_MS;
+        boolean fullCheck = now >= nextFullCheck;
+        nextFullCheck = fullCheck ? now + Constants.MACHINE_FULL_CHECK_MS : nextFullCheck;
+        sessions.values().removeIf(worker -> !worker.recordWriteInProgress && !owns(worker));
+        for (Partition partition : membership.partitions()) {
+          if (membership.owned(partition) != 0) {
+            List.copyOf(view.machinesOf(partition)).forEach(m -> checkMachine(m, fullCheck));
           }
         }
       }
     }
     deadline.tick();
-    for (Partition p : membership.partitions()) {
-      long claim = membership.owned(p);
+    for (Partition partition : membership.partitions()) {
+      long claim = membership.owned(partition);
       if (claim == 0) {
-        writers.remove(p);
+        writers.remove(partition);
       } else {
-        writer(p, claim).pump();
+        writer(partition, claim).writeIfDue();
       }
     }
   }
 
-  /** Whether partitions came or went since the last step: new ones are looked at at once. */
+  /**
+   * Whether the owned partitions have changed since the last tick: machines of new ones are checked
+   * at once.
+   */
   private boolean ownershipChanged() {
     long sum = 0;
     for (Partition partition : membership.partitions()) {
       sum += membership.owned(partition);
     }
-    boolean changed = sum != ownedStamps;
-    ownedStamps = sum;
+    boolean changed = sum != ownedStampSum;
+    ownedStampSum = sum;
     return changed;
   }
 
-  private void lookAt(String name, boolean all) {
-    StateCache.Entry<Machine> e = view.machines.get(name);
-    long claim = e == null ? 0 : membership.owned(e.value().part());
+  private void checkMachine(String name, boolean fullCheck) {
+    StateCache.Entry<Machine> entry = view.machines.get(name);
+    long claim = entry == null ? 0 : membership.owned(entry.value().part());
     if (claim == 0) {
       return;
     }
-    Machine m = e.value();
-    WorkerSession a = session(name, claim);
-    if (a.addr.isEmpty()) {
-      a.addr = m.addr();
+    Machine machine = entry.value();
+    WorkerSession worker = session(name, claim);
+    if (worker.addr.isEmpty()) {
+      worker.addr = machine.addr();
     }
-    PartitionWriter l = writer(m.part(), claim);
+    PartitionWriter writer = writer(machine.part(), claim);
     if (view.drains.get(name) == StateCache.Drain.GONE) {
-      if (buried.add(name)) {
-        replication.gone(m.part(), name);
+      if (goneMachines.add(name)) {
+        replication.gone(machine.part(), name);
       }
-      l.dirty(name);
+      writer.dirty(name);
       return;
     }
-    // Also while its record cannot be written: in an outage of the state service a cut may end, and
-    // the machine must not be taken for silent afterwards.
-    commands.ask(a);
-    if (evidence.lease(a) || all) {
-      settle(a, m, l);
-      commands.urgent(a, m, l);
-    } else if (condition(a, m) != m.condition()) {
-      settle(a, m, l);
+    // Probe the worker even while its record cannot be written: a network partition may end during
+    // an outage of the state service, and the machine must not count as silent afterwards.
+    commands.probe(worker);
+    if (evidence.expireLease(worker) || fullCheck) {
+      markIfChanged(worker, machine, writer);
+      commands.sendUrgent(worker, machine, writer);
+    } else if (condition(worker, machine) != machine.condition()) {
+      markIfChanged(worker, machine, writer);
     }
   }
 
-  private Machine.Condition condition(WorkerSession a, Machine m) {
-    if (view.drains.containsKey(m.name())) {
-      return m.condition();
-    } else if (a.sick) {
+  private Machine.Condition condition(WorkerSession worker, Machine machine) {
+    if (view.drains.containsKey(machine.name())) {
+      return machine.condition();
+    } else if (worker.sick) {
       return Machine.Condition.SICK;
-    } else if (commands.silent(a)) {
-      // Where nobody else was heard lately that says nothing new; but what is silent stays so until
-      // it is
-      // heard, or the leader would count its silence from the start again and again.
-      return a.deaf() || reachability.sure() ? Machine.Condition.SILENT : m.condition();
-    } else if (a.noticeUntil > 0 || view.cordons.contains(m.name())) {
+    } else if (commands.silent(worker)) {
+      // If no other worker was heard from recently, this one's silence proves nothing and its
+      // recorded condition stays. A machine recorded as SILENT stays so until its worker is heard
+      // from, or the leader would restart its count of the silence again and again.
+      return worker.missesResponses() || reachability.silenceIsConclusive()
+          ? Machine.Condition.SILENT
+          : machine.condition();
+    } else if (worker.noticeUntil > 0 || view.cordons.contains(machine.name())) {
       return Machine.Condition.LEAVING;
     }
-    return a.lastHeard > 0 ? Machine.Condition.OK : m.condition();
+    return worker.lastHeard > 0 ? Machine.Condition.OK : machine.condition();
   }
 
-  /** Has it written what is proved gone from the machine, and its condition. */
-  private void settle(WorkerSession a, Machine m, PartitionWriter l) {
-    a.condition = condition(a, m);
-    if (a.condition != m.condition() || !evidence.ends(a, m).isEmpty()) {
-      l.dirty(m.name());
+  /**
+   * Marks the machine for the next write if tasks on it are proved to have ended or its condition
+   * has changed.
+   */
+  private void markIfChanged(WorkerSession worker, Machine machine, PartitionWriter writer) {
+    worker.condition = condition(worker, machine);
+    if (worker.condition != machine.condition()
+        || !evidence.endedTasks(worker, machine).isEmpty()) {
+      writer.dirty(machine.name());
     }
   }
 
@@ -278,12 +304,14 @@
     return rounds;
   }
 
-  /** Time from a job's acceptance to each first launch of its tasks here. */
+  /** Time in ms from a job's acceptance to the first launch of each of its tasks on a machine. */
   public Histogram launchMs() {
     return commands.launchMs();
   }
 
-  /** The design's rounds, a few steps at a time. */
+  /**
+   * Advances the consolidation round by a few search nodes and passes its placements to the placer.
+   */
   public void round() {
     if (!store.loaded()) {
       return;
@@ -294,113 +322,132 @@
             view,
             view.params,
             this::candidates,
-            this::pending,
+            this::pendingTasks,
             this::ageS,
             this::pinned,
             (machine, image) -> view.machines.get(machine).value().images().contains(image));
     if (!placed.isEmpty()) {
-      placer.choose(placed);
+      placer.preferMachines(placed);
     }
   }
 
   private List<MachineCapacity> candidates() {
-    List<MachineCapacity> found = new ArrayList<>();
-    for (Partition p : membership.partitions()) {
-      long claim = membership.owned(p);
+    List<MachineCapacity> capacities = new ArrayList<>();
+    for (Partition partition : membership.partitions()) {
+      long claim = membership.owned(partition);
       if (claim != 0) {
-        found.addAll(placer.rooms(p, claim));
+        capacities.addAll(placer.capacities(partition, claim));
       }
     }
-    return found;
+    return capacities;
   }
 
-  /** Tasks granted to this controller's partitions that are on no machine. */
-  private Map<TaskId, Partition> pending() {
+  /**
+   * Tasks granted to this controller's partitions that are on no machine and in no write in
+   * progress.
+   */
+  private Map<TaskId, Partition> pendingTasks() {
     Map<TaskId, Partition> found = new LinkedHashMap<>();
-    for (Partition p : membership.partitions()) {
-      long claim = membership.owned(p);
+    for (Partition partition : membership.partitions()) {
+      long claim = membership.owned(partition);
       if (claim != 0) {
-        PartitionWriter l = writer(p, claim);
-        view.unplaced(p).stream().filter(t -> !l.moving(t)).forEach(t -> found.put(t, p));
+        PartitionWriter writer = writer(partition, claim);
+        view.unplaced(partition).stream()
+            .filter(t -> !writer.inWrite(t))
+            .forEach(t -> found.put(t, partition));
       }
     }
     return found;
   }
 
   /**
-   * Seconds of work that a move would lose at most: since this owner launched the task, and endless
-   * where it did not. A replica has no work to lose, so its age never keeps it where it is.
+   * Upper bound on the seconds of work that moving the task would lose: the time since its launch,
+   * or infinity if the launch time is unknown. 0 for a service replica, which has no work to lose,
+   * so that its age never prevents a move.
    */
-  private double ageS(String machine, TaskId t) {
-    if (view.jobs.get(t.job()).value().spec().service()) {
+  private double ageS(String machine, TaskId task) {
+    if (view.jobs.get(task.job()).value().spec().service()) {
       return 0;
     }
-    Long at = sessions.get(machine).launched.get(t);
-    return at == null ? Double.POSITIVE_INFINITY : (clock.now() - at) / 1000.0;
+    Long launchedAt = sessions.get(machine).launchedAt.get(task);
+    return launchedAt == null ? Double.POSITIVE_INFINITY : (clock.now() - launchedAt) / 1000.0;
   }
 
-  private boolean pinned(String machine, TaskId t) {
-    WorkerCodec.Seen s = sessions.get(machine).seen.get(t);
-    return s == null || s.state() != WorkerCodec.State.RUNNING;
+  private boolean pinned(String machine, TaskId task) {
+    WorkerCodec.ReportedTask reported = sessions.get(machine).reported.get(task);
+    return reported == null || reported.state() != WorkerCodec.State.RUNNING;
   }
 
-  private boolean owns(WorkerSession a) {
-    StateCache.Entry<Machine> m = view.machines.get(a.name);
-    return m != null && membership.owned(m.value().part()) == a.claim
-        || clock.now() - a.since < Constants.UNREGISTERED_MS && m == null;
+  private boolean owns(WorkerSession worker) {
+    StateCache.Entry<Machine> entry = view.machines.get(worker.name);
+    return entry != null && membership.owned(entry.value().part()) == worker.claim
+        || clock.now() - worker.createdAt < Constants.UNREGISTERED_MS && entry == null;
   }
 
-  /** What this controller knows of a machine's worker; null where it does not own the machine. */
-  private WorkerSession owned(Machine m) {
-    long claim = membership.owned(m.part());
-    return claim == 0 ? null : session(m.name(), claim);
+  /** The session of the machine's worker; null if this controller does not own the machine. */
+  private WorkerSession ownedSession(Machine machine) {
+    long claim = membership.owned(machine.part());
+    return claim == 0 ? null : session(machine.name(), claim);
   }
 
   private WorkerSession session(String machine, long claim) {
-    WorkerSession a = sessions.get(machine);
-    if (a == null || a.claim != claim) {
-      // Nothing known under another claim may count as proof under this one.
-      a = new WorkerSession(machine, claim, clock.now());
-      sessions.put(machine, a);
-      inherit(a);
-    }
-    return a;
+    WorkerSession worker = sessions.get(machine);
+    if (worker == null || worker.claim != claim) {
+      // State kept under another claim must not count as proof under this one.
+      worker = new WorkerSession(machine, claim, clock.now());
+      sessions.put(machine, worker);
+      inherit(worker);
+    }
+    return worker;
   }
 
   /**
-   * Takes over what the partition's former owner knew of a worker, as far as that proves nothing:
-   * how to reach it, since when its tasks run, and what failed there.
+   * Copies the replicated state of the partition's former owner that is no proof about tasks: the
+   * worker's address and session, launch times, failures, and whether the machine is sick.
    */
-  private void inherit(WorkerSession a) {
-    StateCache.Entry<Machine> machine = view.machines.get(a.name);
-    Replication.InheritedWorker known =
-        machine == null ? null : replication.inherited(machine.value().part(), a.name);
-    if (known == null) {
+  private void inherit(WorkerSession worker) {
+    StateCache.Entry<Machine> machine = view.machines.get(worker.name);
+    Replication.InheritedWorker inherited =
+        machine == null ? null : replication.inherited(machine.value().part(), worker.name);
+    if (inherited == null) {
       return;
     }
-    a.addr = known.address();
-    a.expectedSession = known.session();
-    known.launchedAgoMs().forEach((task, ago) -> a.launched.put(task, clock.now() - ago));
-    a.failures.putAll(known.failures());
-    a.sick = known.sick();
+    worker.addr = inherited.address();
+    worker.expectedSession = inherited.session();
+    inherited
+        .launchedAgoMs()
+        .forEach((task, ago) -> worker.launchedAt.put(task, clock.now() - ago));
+    worker.failures.putAll(inherited.failures());
+    worker.sick = inherited.sick();
   }
 
-  private PartitionWriter writer(Partition p, long claim) {
-    PartitionWriter l = writers.get(p);
-    if (l == null || l.claim != claim) {
-      l =
+  private PartitionWriter writer(Partition partition, long claim) {
+    PartitionWriter writer = writers.get(partition);
+    if (writer == null || writer.claim != claim) {
+      writer =
           new PartitionWriter(
-              p, claim, clock, settings, store, view, evidence, placer, rounds, new Ground(claim));
-      writers.put(p, l);
-    }
-    return l;
+              partition,
+              claim,
+              clock,
+              settings,
+              store,
+              view,
+              evidence,
+              placer,
+              rounds,
+              new WriterContext(claim));
+      writers.put(partition, writer);
+    }
+    return writer;
   }
 
-  /** What a writer sees of the rest. */
-  private final class Ground implements PartitionWriter.Owner {
+  /**
+   * Gives the writer of a partition access to worker sessions and other writers, under its claim.
+   */
+  private final class WriterContext implements PartitionWriter.Context {
     private final long claim;
 
-    Ground(long claim) {
+    WriterContext(long claim) {
       this.claim = claim;
     }
 
@@ -410,114 +457,118 @@
     }
 
     @Override
-    public PartitionWriter writer(Partition part) {
-      long held = membership.owned(part);
-      return held == 0 ? null : Workers.this.writer(part, held);
+    public PartitionWriter writer(Partition partition) {
+      long ownedClaim = membership.owned(partition);
+      return ownedClaim == 0 ? null : Workers.this.writer(partition, ownedClaim);
     }
 
     @Override
     public void placed(Set<String> machines) {
-      machines.forEach(m -> lookAt(m, true));
+      machines.forEach(m -> checkMachine(m, true));
     }
   }
 
-  private void overtaken(Partition part, WorkerSession a, WorkerCodec.Report r) {
-    if (r.token() >> Constants.TOKEN_BITS > a.claim) {
-      membership.overtaken(part, a.claim);
+  private void onNewerToken(Partition partition, WorkerSession worker, WorkerCodec.Report report) {
+    if (report.token() >> Constants.TOKEN_BITS > worker.claim) {
+      membership.overtaken(partition, worker.claim);
     }
     store.refresh();
   }
 
-  private Partition partitionOf(WorkerCodec.Report r) {
-    return Partition.of(r.machine(), r.zone(), view.partitionsPerZone());
+  private Partition partitionOf(WorkerCodec.Report report) {
+    return Partition.of(report.machine(), report.zone(), view.partitionsPerZone());
   }
 
-  /** Takes in a report, from wherever it came. */
-  private void take(WorkerSession a, WorkerCodec.Report r, boolean checkin) {
-    boolean moved = r.session() != a.session || !r.addr().equals(a.addr);
-    if (r.session() > a.session) {
-      a.flights.clear(); // commands of an earlier session are refused
-      a.killed.clear();
-      // A new session has its full lease from its own start, even if none of its reports is
-      // answered:
-      // tasks launched in it directly live that long.
-      a.lastAnswered = clock.now();
-    }
-    boolean trustedBefore = a.trusted();
-    a.session = r.session();
-    a.tick = r.tick();
-    a.seenToken = Math.max(a.seenToken, r.token());
-    a.addr = r.addr();
-    a.seen = r.tasks();
-    a.lastHeard = clock.now();
-    reachability.heard(r.zone());
-    a.unanswered = false;
-    if (a.trusted() && !trustedBefore) {
-      a.lastAnswered = clock.now(); // until now a former owner may have answered
-    }
-    a.noticeUntil = r.noticeS() == null ? 0 : clock.now() + (long) (r.noticeS() * 1000);
-    a.endFlights(checkin);
-    a.killed.keySet().retainAll(r.tasks().keySet());
-    if (moved) {
-      replication.sessionKnown(partitionOf(r), a.name, a.addr, a.session);
-    }
-    for (Iterator<TaskId> it = a.launched.keySet().iterator(); it.hasNext(); ) {
+  /** Applies a report, whether the worker sent it by itself or as the answer to a call. */
+  private void acceptReport(WorkerSession worker, WorkerCodec.Report report, boolean checkin) {
+    boolean addressOrSessionChanged =
+        report.session() != worker.session || !report.addr().equals(worker.addr);
+    if (report.session() > worker.session) {
+      worker.pendingLaunches.clear(); // the worker refuses orders for an earlier session
+      worker.killSentAt.clear();
+      // A new session has its full lease from its start, even if none of its reports is answered:
+      // tasks launched directly in it live that long.
+      worker.lastAnswered = clock.now();
+    }
+    boolean confirmedBefore = worker.claimConfirmed();
+    worker.session = report.session();
+    worker.tick = report.tick();
+    worker.reportedToken = Math.max(worker.reportedToken, report.token());
+    worker.addr = report.addr();
+    worker.reported = report.tasks();
+    worker.lastHeard = clock.now();
+    reachability.heard(report.zone());
+    worker.probeUnanswered = false;
+    if (worker.claimConfirmed() && !confirmedBefore) {
+      worker.lastAnswered = clock.now(); // a former owner may have renewed the lease until now
+    }
+    worker.noticeUntil =
+        report.noticeS() == null ? 0 : clock.now() + (long) (report.noticeS() * 1000);
+    worker.clearResolvedLaunches(checkin);
+    worker.killSentAt.keySet().retainAll(report.tasks().keySet());
+    if (addressOrSessionChanged) {
+      replication.sessionKnown(partitionOf(report), worker.name, worker.addr, worker.session);
+    }
+    for (Iterator<TaskId> it = worker.launchedAt.keySet().iterator(); it.hasNext(); ) {
       TaskId task = it.next();
-      if (!r.tasks().containsKey(task) && !a.flights.containsKey(task)) {
+      if (!report.tasks().containsKey(task) && !worker.pendingLaunches.containsKey(task)) {
         it.remove();
-        replication.ended(partitionOf(r), a.name, task);
+        replication.ended(partitionOf(report), worker.name, task);
       }
     }
   }
 
   /**
-   * Puts a machine on record once its worker has shown this claim's token: a copy of an old report
-   * of a machine that was returned, even by a controller that has since crashed, cannot show it.
+   * Records a machine once its worker has reported this claim's token. A late copy of an old report
+   * cannot carry that token if its machine was returned, even by a controller that has crashed
+   * since.
    */
-  private void register(WorkerSession a, WorkerCodec.Report r) {
-    if (a.busy || !a.trusted()) {
+  private void register(WorkerSession worker, WorkerCodec.Report report) {
+    if (worker.recordWriteInProgress || !worker.claimConfirmed()) {
       return;
     }
-    Partition part = partitionOf(r);
-    Machine m =
+    Partition partition = partitionOf(report);
+    Machine machine =
         new Machine(
-            r.machine(),
-            r.type(),
-            r.zone(),
-            r.spot(),
-            r.addr(),
+            report.machine(),
+            report.type(),
+            report.zone(),
+            report.spot(),
+            report.addr(),
             Machine.Condition.OK,
             Map.of(),
             List.of(),
-            part);
-    a.busy = true;
+            partition);
+    worker.recordWriteInProgress = true;
     store.settle(
         Store.Urgency.LAUNCH,
         new Txn()
-            .when(Keys.machine(m.name()), 0)
-            .when(Keys.claim(part.toString()), a.claim)
-            .put(Keys.machine(m.name()), Records.machine(m)),
+            .when(Keys.machine(machine.name()), 0)
+            .when(Keys.claim(partition.toString()), worker.claim)
+            .put(Keys.machine(machine.name()), Records.machine(machine)),
         Constants.STATE_TIMEOUT_MS,
-        ok -> a.busy = false);
+        ok -> worker.recordWriteInProgress = false);
   }
 
-  /** A report that came as the answer to a call of ours. */
-  private void heard(WorkerSession a, byte[] body) {
-    WorkerCodec.Report r = WorkerCodec.decode(Json.parse(body));
-    if (r == null || !r.machine().equals(a.name) || sessions.get(a.name) != a) {
+  /** Handles a report that a worker sent as the answer to a call of this controller. */
+  private void acceptPolledReport(WorkerSession worker, byte[] body) {
+    WorkerCodec.Report report = WorkerCodec.decode(Json.parse(body));
+    if (report == null
+        || !report.machine().equals(worker.name)
+        || sessions.get(worker.name) != worker) {
       return;
     }
-    if (r.token() > a.token()) {
-      overtaken(partitionOf(r), a, r);
-    } else if (a.newer(r.session(), r.tick()) && !a.leaseOver) {
-      a.unheeded = 0; // it answered us, so it hears us
-      take(a, r, false);
-      StateCache.Entry<Machine> e = view.machines.get(a.name);
-      long claim = e == null ? 0 : membership.owned(e.value().part());
-      if (claim == a.claim && claim != 0) {
-        PartitionWriter l = writer(e.value().part(), claim);
-        settle(a, e.value(), l);
-        commands.urgent(a, e.value(), l);
+    if (report.token() > worker.token()) {
+      onNewerToken(partitionOf(report), worker, report);
+    } else if (worker.newer(report.session(), report.tick()) && !worker.leaseExpired) {
+      worker.missedResponses = 0; // the worker answered, so messages reach it
+      acceptReport(worker, report, false);
+      StateCache.Entry<Machine> entry = view.machines.get(worker.name);
+      long claim = entry == null ? 0 : membership.owned(entry.value().part());
+      if (claim == worker.claim && claim != 0) {
+        PartitionWriter writer = writer(entry.value().part(), claim);
+        markIfChanged(worker, entry.value(), writer);
+        commands.sendUrgent(worker, entry.value(), writer);
       }
     }
   }
