--- a/src/main/java/org/baygw/control/quota/Preemption.java
+++ b/src/main/java/org/baygw/control/quota/Preemption.java
@@ -30,18 +30,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes room as the protocol allows, by stopping work of lower priority, or for a guarantee what
- * another team borrows. That is done for production jobs, for jobs that have waited long for their
- * team's guarantee, and at once where the work of a guest can be stopped without loss: nothing is
- * guaranteed to a guest, so it cannot take the room back, and teams do not take turns.
+ * Frees capacity as the protocol allows, by stopping tasks of lower priority or, for a job within
+ * its team's guarantee, tasks by which another team exceeds its own. Tasks are stopped for
+ * production jobs, for jobs that have waited long for their team's guarantee, and without waiting
+ * where a task of a team without guarantee can be stopped without loss: such a team cannot reclaim
+ * the capacity, so teams do not preempt each other in turns.
  */
 final class Preemption {
   private static final Logger LOG = LoggerFactory.getLogger(Preemption.class);
 
-  /** A task that could be stopped, and what that costs in seconds. */
+  /** A task that could be stopped, and the cost of stopping it in seconds. */
   private record Victim(TaskId task, JobSpec spec, double cost) {}
 
-  /** What would be stopped on a machine for one task, and what that costs. */
+  /**
+   * The tasks to stop on a machine for one task, and the total cost in seconds, with that of a
+   * missing image.
+   */
   private record Stops(List<Victim> victims, double cost) {}
 
   private final Settings settings;
@@ -50,18 +54,24 @@
   private final CapacityCache rooms;
   private final JobWrites writes;
 
-  /** The teams to which nothing is guaranteed. */
+  /** Names of the teams without a guarantee. */
   private final List<String> guests;
 
-  /** Seconds since this scheduler granted a task; endless where a former one did. */
+  /**
+   * Seconds since a task was granted; infinite if a former leader granted it at an unknown time.
+   */
   private final ToDoubleFunction<TaskId> grantAgeS;
 
   /**
-   * Tasks whose stop is being written: their room counts as coming free, or more would be stopped.
+   * Tasks whose stop is being written. Their capacity counts as being freed, or more tasks would be
+   * stopped for the same demand.
    */
   private final Set<TaskId> stopping = new HashSet<>();
 
-  /** Where the look for what to stop begins, so that each machine has its turn. */
+  /**
+   * Index of the machine at which the next search starts, so that all machines are searched in
+   * turn.
+   */
   private int firstLook;
 
   Preemption(
@@ -85,8 +95,8 @@
   }
 
   /**
-   * Stops tasks for what found no room. Demand that is covered that way leaves the list, so that
-   * nothing is rented for it.
+   * Stops tasks for demand that found no capacity. Covered demand is removed from the list, so that
+   * no machines are rented for it.
    *
    * @param guaranteed the unfinished jobs that fit into their teams' guarantees
    */
@@ -106,7 +116,7 @@
       }
     }
     if (pass.stopped > 0) {
-      LOG.info("stop {} tasks of {} jobs to make room", pass.stopped, pass.byJob.size());
+      LOG.info("stopping {} tasks of {} jobs to free capacity", pass.stopped, pass.byJob.size());
     }
     pass.byJob.forEach(this::stop);
   }
@@ -117,14 +127,14 @@
         || !demand.standing().guest() && guests.stream().anyMatch(team -> usage.cpus(team) > 0);
   }
 
-  /** One pass: what is chosen to be stopped, with the room that this gives. */
+  /** One pass: the tasks chosen to be stopped, and the capacity that this frees. */
   private final class Pass {
     private final TeamUsage usage;
     private final Set<String> guaranteed;
     private final Map<MachineCapacity, List<Victim>> victims = new HashMap<>();
     private final Map<String, List<Victim>> byJob = new LinkedHashMap<>();
 
-    /** Live tasks of the jobs whose tasks were looked at, less those that are chosen. */
+    /** Number of live tasks of the jobs considered so far, without the chosen victims. */
     private final Map<String, Integer> live = new HashMap<>();
 
     private List<MachineCapacity> machines;
@@ -135,7 +145,9 @@
       this.guaranteed = guaranteed;
     }
 
-    /** Chooses what to stop for a job's tasks; returns for how many nothing was found. */
+    /**
+     * Chooses tasks to stop for the demand; returns how many of its tasks remain without capacity.
+     */
     int makeRoom(UnmetDemand demand) {
       if (machines == null) {
         machines = machines();
@@ -149,8 +161,9 @@
     }
 
     /**
-     * Where one of the tasks could come, by stopping what: on machines that have its image, and
-     * where too few do on others. The cheapest of some is nearly as good as the cheapest of all.
+     * The machines that could run one of the tasks, each with the tasks to stop there. Machines
+     * that have the image come first, others only while fewer than the limit were examined. The
+     * cheapest of a sample is nearly as good as the cheapest of all.
      */
     private Map<MachineCapacity, Stops> options(UnmetDemand demand) {
       Map<MachineCapacity, Stops> found = new LinkedHashMap<>();
@@ -172,10 +185,10 @@
       return found;
     }
 
-    /** Chooses what to stop for one task; false where nothing helps. */
+    /** Chooses the tasks to stop for one task; false if no machine can run it that way. */
     private boolean stopCheapest(UnmetDemand demand, Map<MachineCapacity, Stops> options) {
       for (MachineCapacity room = cheapest(options); room != null; room = cheapest(options)) {
-        // What the other tasks' stops left of a team's borrowing may have changed it.
+        // Victims chosen since reduce what their teams borrow, which may rule out this option.
         Stops now = needed(demand, room);
         if (now != null && now.victims().equals(options.get(room).victims())) {
           choose(demand, room, now);
@@ -199,11 +212,11 @@
       stopped += stops.victims().size();
     }
 
-    /** What to stop so that the task fits on the machine; null if nothing would do. */
+    /** The tasks to stop so that the task fits on the machine; null if it cannot fit. */
     private Stops needed(UnmetDemand demand, MachineCapacity room) {
       JobSpec spec = demand.spec();
       if (!room.suits(spec)) {
-        return null; // a copy of the service has come there in thought
+        return null; // a replica of the service has been planned there meanwhile
       }
       List<Victim> candidates = victims.computeIfAbsent(room, Preemption.this::victims);
       double cpus = 0;
@@ -231,9 +244,9 @@
     }
 
     /**
-     * Whether a task may be stopped for the demand: production work stops anything below it.
+     * Whether a task may be stopped for the demand; production work may stop any task below it.
      *
-     * @param chosen what is chosen on this machine already
+     * @param chosen the victims chosen on this machine so far
      */
     private boolean mayStop(UnmetDemand demand, Victim victim, List<Victim> chosen) {
       return demand.spec().priority() == JobSpec.Priority.PRODUCTION
@@ -242,9 +255,9 @@
     }
 
     /**
-     * Whether the task is a guest's, saves its work, and is of lower priority or in the way of a
-     * guarantee. Each of a guest's jobs keeps a task, and each start its first half minute, or a
-     * job that has begun would count as one that has not.
+     * Whether the task is of a team without guarantee, saves checkpoints, and is of lower priority
+     * or takes capacity that the demand is guaranteed. Each job of such a team keeps a task, and no
+     * task is stopped in its first half minute, or a started job would count as not started.
      */
     private boolean isGuestThatYields(UnmetDemand demand, Victim victim, List<Victim> chosen) {
       JobSpec other = victim.spec();
@@ -264,8 +277,8 @@
     }
 
     /**
-     * Whether the task is beyond its team's guarantee, which may be taken back for a job that
-     * reclaims its own; no more of it than is beyond.
+     * Whether the task exceeds its team's guarantee, so that it may be stopped for a job of another
+     * team that reclaims its own guarantee. No more is taken than what exceeds the guarantee.
      */
     private boolean isBorrowed(UnmetDemand demand, Victim victim, List<Victim> chosen) {
       JobSpec other = victim.spec();
@@ -310,7 +323,7 @@
     }
   }
 
-  /** The machines on which something could be stopped. */
+  /** The machines on which tasks could be stopped. */
   private List<MachineCapacity> machines() {
     List<MachineCapacity> found = new ArrayList<>();
     for (StateCache.Entry<Machine> entry : view.machines.values()) {
@@ -328,7 +341,8 @@
   }
 
   /**
-   * What could be stopped on a machine, cheapest first; what stops already is taken off its room.
+   * The tasks that could be stopped on a machine, cheapest first. Releases the capacity of tasks
+   * that are being stopped already.
    */
   private List<Victim> victims(MachineCapacity room) {
     List<Victim> found = new ArrayList<>();
@@ -350,8 +364,8 @@
   }
 
   /**
-   * What stopping a task costs, in seconds: the work it loses, or the time it takes to save, in
-   * which the one that needs the room waits.
+   * Cost of stopping a task in seconds: the work it loses or, if it saves checkpoints, the weighted
+   * time of a save, during which the task that needs the capacity waits.
    */
   private double cost(TaskId task, JobSpec spec) {
     return spec.checkpoints()
