--- a/src/main/java/org/baygw/control/quota/Scheduler.java
+++ b/src/main/java/org/baygw/control/quota/Scheduler.java
@@ -30,8 +30,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's scheduler: the queue of jobs. It grants tasks to partitions by durable writes; a
- * granted task counts against its team until its partition's owner has proved it gone.
+ * The job queue of the leader. It grants tasks to partitions by durable writes; a granted task
+ * counts against its team's limit until the partition's owner has proved that it has ended.
  */
 public final class Scheduler {
   private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
@@ -49,10 +49,10 @@
   private final ProgressFolding folding;
   private final Preemption preemption;
 
-  /** When this scheduler granted what is live; a former one's grants count as old. */
+  /** Grant times of live tasks. A grant of a former leader without a known time counts as old. */
   private final Map<TaskId, Long> grantedAt = new HashMap<>();
 
-  /** Since when a job has had tasks without room. */
+  /** Time since which a job has had tasks without capacity. */
   private final Map<String, Long> unmetSince = new HashMap<>();
 
   private List<UnmetDemand> unmet = List.of();
@@ -60,7 +60,7 @@
   private long nextClean;
   private long seenChanges = -1;
 
-  /** The leadership's stamp under which this scheduler last worked. */
+  /** Stamp of the leader's claim under which this scheduler last worked. */
   private long epoch;
 
   public Scheduler(
@@ -84,14 +84,15 @@
     this.preemption = new Preemption(settings, view, membership, rooms, writes, this::grantAgeS);
   }
 
-  /** Tasks that need machines which are not there. */
+  /** Tasks for which the latest pass found no capacity. */
   public List<UnmetDemand> unmet() {
     return unmet;
   }
 
   /**
-   * Whether nothing has changed since the pass that found them. Between a change and the next pass
-   * a machine that has just come up would count neither as on its way nor as one that has room.
+   * Whether nothing has changed since the pass that computed the unmet demand. Between a change and
+   * the next pass, a machine that has just come up would count neither as booting nor as having
+   * capacity.
    */
   public boolean unmetIsCurrent() {
     return seenChanges == view.changes();
@@ -101,7 +102,7 @@
     return unmet.stream().mapToInt(UnmetDemand::count).sum();
   }
 
-  /** Time has passed, or something has changed. */
+  /** Runs a pass if one is due; called as time passes and after each change. */
   public void tick() {
     long now = clock.now();
     if (!store.loaded() || membership.leadership() == 0) {
@@ -115,7 +116,7 @@
     if (now < nextPass || unmetIsCurrent() && now < nextPass + Constants.SCHEDULER_IDLE_PASS_MS) {
       return;
     }
-    // A pass looks at all machines, so what passes cost a second must not grow with them.
+    // A pass examines all machines; the added delay keeps its share of a processor bounded.
     long large = (long) (view.machines.size() * Constants.SCHEDULER_PASS_MS_A_MACHINE);
     nextPass =
         now
@@ -125,7 +126,7 @@
     new Pass().run();
   }
 
-  /** Takes over what the former leader knew of waiting jobs and grants. */
+  /** Takes over the former leader's times of waiting jobs and of grants. */
   private void inherit() {
     Replication.InheritedQueue known = replication.inheritedQueue();
     if (known == null) {
@@ -150,15 +151,15 @@
   private final class Pass {
     private final TeamUsage usage = new TeamUsage(settings.teams());
 
-    /** CPUs that each team's unfinished jobs ask for, up to the job that is looked at. */
+    /** CPUs that each team's unfinished jobs request, up to and including the current job. */
     private final Map<String, Double> demand = new HashMap<>();
 
-    /** Unfinished jobs that fit into their team's guarantee together with its earlier ones. */
+    /** Unfinished jobs that fit into their team's guarantee together with its earlier jobs. */
     private final Set<String> guaranteed = new HashSet<>();
 
     private final List<QueuedJob> queue = new ArrayList<>();
 
-    /** Shapes of tasks that found no room in this pass. */
+    /** Shapes of tasks that found no capacity in this pass. */
     private final Set<String> full = new HashSet<>();
 
     private final List<UnmetDemand> left = new ArrayList<>();
@@ -180,7 +181,7 @@
       unmet = left;
     }
 
-    /** Counts what a job has, and queues it if tasks of it wait. */
+    /** Adds a job to its team's usage, and queues it if it has tasks that wait for a grant. */
     private void add(StateCache.Entry<Job> entry) {
       Job job = entry.value();
       JobSpec spec = job.spec();
@@ -238,7 +239,7 @@
           zoneLive);
     }
 
-    /** Grants as many of a job's tasks as its team's limit and the room allow. */
+    /** Grants as many of a job's tasks as its team's limit and the free capacity allow. */
     private void serve(QueuedJob job) {
       JobSpec spec = job.spec();
       int allowed = usage.allowed(settings.team(spec.team()), spec, job.pending());
@@ -256,7 +257,8 @@
       if (noRoom && grants.count < allowed) {
         long waitedMs = noteUnmet(job, allowed - grants.count, zoneLive);
         if (waitedMs < Constants.LIMIT_RESERVED_MS) {
-          usage.add(spec, allowed - grants.count); // what is rented for must also be allowed to run
+          // Machines are rented for these tasks, so the limit must still allow them later.
+          usage.add(spec, allowed - grants.count);
         }
       }
       if (grants.count > 0) {
@@ -264,7 +266,7 @@
       }
     }
 
-    /** Notes tasks that found no room; returns for how long the job has had such tasks. */
+    /** Records tasks without capacity; returns for how many ms the job has had such tasks. */
     private long noteUnmet(QueuedJob job, int count, int[] zoneLive) {
       JobSpec spec = job.spec();
       if (unmetSince.putIfAbsent(job.id(), clock.now()) == null) {
@@ -315,7 +317,7 @@
     }
   }
 
-  /** The tasks of one job that one pass grants. */
+  /** The tasks of one job that are granted in one pass. */
   private final class Grants {
     private final QueuedJob job;
     private final int[] zoneLive;
@@ -331,7 +333,7 @@
       this.allowed = allowed;
     }
 
-    /** Grants what there is room for; false if that ran out. */
+    /** Grants tasks as far as limits and capacity allow; false only if capacity ran out. */
     boolean fill(FreeCapacity free) {
       JobSpec spec = job.spec();
       FreeCapacity.Place place = null;
@@ -381,13 +383,13 @@
             String key = Keys.progress(job.id(), chunk);
             txn.when(key, view.stamp(key)).put(key, Records.progress(progress));
           });
-      LOG.debug("grant {} tasks of {}", count, job.id());
+      LOG.debug("granting {} tasks of job {}", count, job.id());
       replication.granted(job.id(), granted);
       writes.grant(job.id(), partitions, txn);
     }
   }
 
-  /** How many of its class's aims the job would miss even if it started now. */
+  /** Number of its class's objectives that the job would miss even if it started now. */
   private int missedAims(Job job) {
     double ageS = (clock.wall() - job.acceptedMs()) / 1000.0;
     int missed = 0;
@@ -405,7 +407,8 @@
   }
 
   /**
-   * What a job asks for of a machine: where one found no room, its like need not look in this pass.
+   * Resources and constraints of a job's tasks. If a job finds no capacity, other jobs of the same
+   * shape need not be tried in this pass.
    */
   private static String shape(JobSpec spec, String onlyZone) {
     return spec.cpus()
@@ -431,7 +434,7 @@
             .put(Keys.job(id), Records.job(job.value().done())));
   }
 
-  /** A job that is over and has no task left needs no progress. */
+  /** Deletes the progress of an ended job that has no live tasks. */
   private void clean(String id, TreeMap<Integer, StateCache.Entry<Progress>> chunks) {
     Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leadership());
     for (Integer chunk : chunks.keySet()) {
