--- a/src/main/java/org/baygw/control/quota/QueuedJob.java
+++ b/src/main/java/org/baygw/control/quota/QueuedJob.java
@@ -5,15 +5,15 @@
 import org.baygw.control.model.JobSpec;
 
 /**
- * A job with tasks that wait for a grant, as one pass sees it.
+ * A job with tasks that wait for a grant, as of one scheduler pass.
  *
  * @param stamp revision of the job's key, a condition of its grants
- * @param guest whether its team has no guarantee at all
+ * @param guest whether its team has no guarantee
  * @param guaranteed whether it fits into its team's guarantee together with the team's earlier jobs
- * @param idleMs its age if none of its tasks runs or is done, else 0
- * @param missedAims how many of its class's aims it would miss even if it started now
- * @param workS CPU seconds that are left, by the user's estimate
- * @param zoneLive its live tasks in each zone
+ * @param idleMs ms since acceptance if no task is live or done, else 0
+ * @param missedAims number of its class's objectives that it would miss even if it started now
+ * @param workS remaining CPU seconds, by the user's estimate
+ * @param zoneLive number of its live tasks in each zone
  */
 record QueuedJob(
     String id,
@@ -28,19 +28,19 @@
     int pending,
     int[] zoneLive) {
 
-  /** The order in which jobs are served. */
+  /** The order in which jobs are scheduled. */
   static final Comparator<QueuedJob> ORDER =
       Comparator.comparing(
               (QueuedJob job) -> job.spec().priority() == JobSpec.Priority.PRODUCTION ? 0 : 1)
-          // First what may stop others, or the room would go to the next in line and be taken
-          // again.
+          // Jobs that may preempt others come first, or capacity would be granted to the next job
+          // and taken back again.
           .thenComparing(job -> job.overdue() ? 0 : 1)
           .thenComparing(job -> job.guaranteed() ? 0 : 1)
-          // A guest's idle-time work must crowd out nobody else's, also not what is late already.
+          // Low-priority jobs of teams without guarantee must not displace other jobs, not even
+          // those that will miss their objectives.
           .thenComparing(
               job -> job.guest() && job.spec().priority() == JobSpec.Priority.LOW ? 1 : 0)
-          // More jobs are in time if those that can no longer be, and the long ones, let others
-          // pass.
+          // More jobs finish in time if those that can no longer do so, and long jobs, come later.
           .thenComparing(QueuedJob::missedAims)
           .thenComparing(job -> job.spec().priority())
           .thenComparing(job -> job.guest() ? 1 : 0)
@@ -49,14 +49,14 @@
           .thenComparing(QueuedJob::id);
 
   /**
-   * Whether it has waited so long with nothing started that it goes before the others: soon within
-   * a guarantee, and later in any case, or large jobs would never begin while small ones come.
+   * Whether the job has waited so long without a start that it precedes others: sooner within a
+   * guarantee, later in any case, or large jobs would starve while small ones keep arriving.
    */
   boolean overdue() {
     return idleMs > (guaranteed ? Constants.FIRST_MS : Constants.STARVED_MS);
   }
 
-  /** What it is entitled to. */
+  /** What the job is entitled to. */
   UnmetDemand.Standing standing() {
     boolean reclaims = guaranteed && idleMs > Constants.RECLAIM_MS;
     return new UnmetDemand.Standing(guaranteed, reclaims, guest, idleMs == 0);
