--- a/src/main/java/org/baygw/control/quota/UnmetDemand.java
+++ b/src/main/java/org/baygw/control/quota/UnmetDemand.java
@@ -4,11 +4,11 @@
 import org.baygw.control.model.JobSpec;
 
 /**
- * Tasks of a job that found no room in the latest pass.
+ * Tasks of a job for which the latest pass found no capacity.
  *
- * @param zone the only zone in which they may be; null where any will do
- * @param count how many tasks
- * @param waitedMs how long the job has had such tasks
+ * @param zone the only zone in which they may run; null if they may run in any
+ * @param count number of tasks
+ * @param waitedMs ms for which the job has had such tasks
  * @param standing what the job is entitled to
  */
 public record UnmetDemand(JobSpec spec, String zone, int count, long waitedMs, Standing standing) {
@@ -18,20 +18,21 @@
    *
    * @param guaranteed whether it fits into its team's guarantee together with the team's earlier
    *     jobs
-   * @param reclaims whether room that other teams borrow may be taken back for it
-   * @param guest whether its team has no guarantee at all
-   * @param begun whether a task of it runs or is done
+   * @param reclaims whether capacity that other teams borrow may be reclaimed for it
+   * @param guest whether its team has no guarantee
+   * @param begun whether a task of it is live or done
    */
   public record Standing(boolean guaranteed, boolean reclaims, boolean guest, boolean begun) {}
 
-  /** The same demand for the tasks that are left. */
+  /** The same demand for the remaining tasks. */
   UnmetDemand withCount(int left) {
     return new UnmetDemand(spec, zone, left, waitedMs, standing);
   }
 
   /**
-   * Whether it is a guest's work for idle times that may use spot machines: no ordinary machine is
-   * rented for it, unless it has not begun for so long that it might not begin in time at all.
+   * Whether this is low-priority work of a team without guarantee that may use spot machines. No
+   * on-demand machine is rented for it, unless it has waited for so long without a start that it
+   * might not start in time.
    */
   public boolean canWaitForSpot() {
     return standing.guest()
