--- a/src/main/java/org/baygw/control/quota/ZoneRules.java
+++ b/src/main/java/org/baygw/control/quota/ZoneRules.java
@@ -4,7 +4,7 @@
 import org.baygw.control.model.JobSpec;
 import org.baygw.control.model.Progress;
 
-/** Where a job's tasks may be, given how many of them are live in each zone. */
+/** The zones in which a job's tasks may run, given the number of its live tasks in each zone. */
 final class ZoneRules {
   private final List<String> zones;
 
@@ -12,12 +12,12 @@
     this.zones = zones;
   }
 
-  /** No live task in any zone yet. */
+  /** Live tasks per zone, all zero. */
   int[] none() {
     return new int[zones.size()];
   }
 
-  /** A zone's place in such a count, or -1 where the zone is unknown. */
+  /** Index of a zone in the counts of live tasks, or -1 if the zone is unknown. */
   int index(String zone) {
     return zones.indexOf(zone);
   }
@@ -31,7 +31,7 @@
     }
   }
 
-  /** The only zone in which another task may be, or null. */
+  /** The only zone in which another task may run, or null if there is no such rule. */
   String only(JobSpec spec, int[] zoneLive) {
     if (spec.zone() != null) {
       return spec.zone();
@@ -46,12 +46,12 @@
     return null;
   }
 
-  /** Whether another task may be in the zone, which is not the wrong one. */
+  /** Whether the job's limit per zone allows another task in the zone, if its other rules do. */
   boolean hasShareLeft(JobSpec spec, int zone, int[] zoneLive) {
     return !spec.spread() || zoneLive[zone] < spec.zoneCap();
   }
 
-  /** Where a machine for the task would have to be, or null; counts the task there. */
+  /** The zone in which a machine for the task must be, or null for any; counts the task there. */
   String zoneFor(JobSpec spec, int[] zoneLive) {
     String zone = only(spec, zoneLive);
     if (zone == null && (spec.spread() || spec.oneZone())) {
