--- a/src/main/java/org/baygw/control/quota/ProgressFolding.java
+++ b/src/main/java/org/baygw/control/quota/ProgressFolding.java
@@ -16,8 +16,9 @@
 import org.baygw.control.store.Txn;
 
 /**
- * Takes ended tasks over into their jobs' progress where a partition's record grows large.
- * Elsewhere that costs no write: it comes with the job's next grant, or the job is done first.
+ * Writes ended tasks from a partition's record into the progress of their jobs where the record
+ * grows large. Elsewhere they need no write of their own: the job's next grant includes them, or
+ * the job is done first.
  */
 final class ProgressFolding {
   private final Settings settings;
