--- a/src/main/java/org/baygw/control/quota/PartitionAvoidance.java
+++ b/src/main/java/org/baygw/control/quota/PartitionAvoidance.java
@@ -14,18 +14,19 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * Which partitions gave a job's tasks back without having placed them. Only the partition's owner
- * knows why, such as a machine that fails them all, and its room would draw them there for ever.
+ * The partitions that returned tasks of a job without placing them. Only a partition's owner knows
+ * the reason, such as a machine on which all of them fail, and its free capacity would attract the
+ * tasks again and again.
  */
 final class PartitionAvoidance {
   private final Clock clock;
   private final StateCache view;
   private final Membership membership;
 
-  /** Tasks that were granted and on no machine yet when last looked at. */
+  /** Granted tasks that were on no machine at the last update. */
   private final Map<TaskId, Partition> waiting = new HashMap<>();
 
-  /** By job, the partitions to avoid and until when. */
+  /** By job, the partitions to avoid and the time at which that ends. */
   private final Map<String, Map<Partition, Long>> avoided = new HashMap<>();
 
   PartitionAvoidance(Clock clock, StateCache view, Membership membership) {
@@ -34,12 +35,12 @@
     this.membership = membership;
   }
 
-  /** The partitions that get tasks of the job only if no other has room. */
+  /** The partitions that get tasks of the job only if no other has capacity. */
   Set<Partition> of(String job) {
     return avoided.getOrDefault(job, Map.of()).keySet();
   }
 
-  /** Compares what waits for a machine now with what did when this was last called. */
+  /** Compares the tasks that wait for a machine with those of the previous call. */
   void update() {
     long now = clock.now();
     for (Iterator<Map.Entry<TaskId, Partition>> it = waiting.entrySet().iterator();
