--- a/src/main/java/org/baygw/control/quota/JobWrites.java
+++ b/src/main/java/org/baygw/control/quota/JobWrites.java
@@ -9,22 +9,22 @@
 import org.baygw.control.store.Txn;
 
 /**
- * The scheduler's writes that are under way, one for each job at most. What they grant counts until
- * it is certain how they ended: the tasks against their team's limit, and the room that they take,
- * or the next pass would give the same room away again.
+ * The scheduler's writes in flight, at most one per job. Until the outcome of a write is certain,
+ * the tasks that it grants count against their team's limit and their capacity counts as taken, or
+ * the next pass would grant the same capacity again.
  */
 final class JobWrites {
   private final Store store;
   private final Runnable settled;
 
-  /** Tasks that the write of a job grants. */
+  /** Number of tasks that a job's write grants, 0 for writes that grant none. */
   private final Map<String, Integer> grants = new HashMap<>();
 
-  /** The partitions to which it grants them. */
+  /** Number of tasks that a job's write grants to each partition. */
   private final Map<String, Map<Partition, Integer>> partitions = new HashMap<>();
 
   /**
-   * @param settled called whenever a write has ended
+   * @param settled called whenever the outcome of a write is certain
    */
   JobWrites(Store store, Runnable settled) {
     this.store = store;
@@ -35,7 +35,7 @@
     return grants.containsKey(job);
   }
 
-  /** Tasks that a write under way grants, 0 where there is none. */
+  /** Number of tasks that the job's write in flight grants; 0 if there is none. */
   int granting(String job) {
     return grants.getOrDefault(job, 0);
   }
@@ -44,25 +44,25 @@
     return grants.size();
   }
 
-  /** Adds the tasks that are being granted to a partition to a count of tasks by job. */
+  /** Adds the tasks that writes in flight grant to a partition to the counts by job. */
   void addGrantsTo(Partition partition, Map<String, Integer> tasksByJob) {
     partitions.forEach(
         (job, counts) -> tasksByJob.merge(job, counts.getOrDefault(partition, 0), Integer::sum));
   }
 
-  /** A write that grants tasks. */
+  /** Sends a write that grants tasks. */
   void grant(String job, Map<Partition, Integer> tasks, Txn txn) {
     partitions.put(job, tasks);
     int count = tasks.values().stream().mapToInt(n -> n).sum();
     write(job, count, Store.Urgency.GRANT, txn, ok -> {});
   }
 
-  /** A write that grants nothing. */
+  /** Sends a write that grants no tasks. */
   void write(String job, Store.Urgency urgency, Txn txn) {
     write(job, 0, urgency, txn, ok -> {});
   }
 
-  /** The same, and what to do when it has ended. */
+  /** Sends a write that grants no tasks; the callback gets whether the write succeeded. */
   void write(String job, Store.Urgency urgency, Txn txn, Consumer<Boolean> then) {
     write(job, 0, urgency, txn, then);
   }
