--- a/src/main/java/org/baygw/control/quota/FreeCapacity.java
+++ b/src/main/java/org/baygw/control/quota/FreeCapacity.java
@@ -19,11 +19,11 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * What the partitions have free in one pass, less what was granted to them and is on no machine
- * yet.
+ * Free capacity of the partitions in one pass, without the capacity of tasks that were granted to
+ * them and are on no machine yet.
  */
 final class FreeCapacity {
-  /** A machine that has room for a task, and its partition. */
+  /** A machine that has capacity for a task, and its partition. */
   record Place(Partition part, MachineCapacity room) {}
 
   private final Settings settings;
@@ -70,7 +70,7 @@
     return list;
   }
 
-  /** The pages of a partition's record that can take no more tasks. */
+  /** The pages of a partition's record that have no space for more tasks. */
   private Set<Integer> fullPages(Partition part, int pages) {
     int limitBytes = (int) (settings.state().valueKb() * 1024 * Constants.RECORD_FULL);
     Set<Integer> full = new HashSet<>();
@@ -82,7 +82,10 @@
     return full;
   }
 
-  /** Takes like tasks together, or every one of them would look through all machines. */
+  /**
+   * Reserves capacity for granted tasks that are on no machine yet. Tasks are counted by job, since
+   * otherwise the machines would be searched once for each task.
+   */
   private void takeUnplaced(Partition part, List<MachineCapacity> list, JobWrites writes) {
     Map<String, Integer> unplaced = new TreeMap<>();
     view.unplaced(part).forEach(task -> unplaced.merge(task.job(), 1, Integer::sum));
@@ -101,7 +104,8 @@
   }
 
   /**
-   * The partition with the most free room among those that have a machine for the task, or null.
+   * The partition whose machine for the task ranks highest, and among equals the one with the most
+   * free CPUs; null if no machine fits. Avoided partitions come last.
    */
   Place roomiest(JobSpec spec, int[] zoneLive, Set<Partition> avoided) {
     String only = zones.only(spec, zoneLive);
