--- a/src/main/java/org/baygw/control/quota/TeamUsage.java
+++ b/src/main/java/org/baygw/control/quota/TeamUsage.java
@@ -7,7 +7,7 @@
 import org.baygw.control.config.Settings;
 import org.baygw.control.model.JobSpec;
 
-/** What each team's live tasks take, changed during a pass as tasks are granted or stopped. */
+/** CPUs and GPUs of each team's live tasks, updated in a pass as tasks are granted or stopped. */
 final class TeamUsage {
   private static final class Amounts {
     double cpus;
@@ -22,7 +22,7 @@
     }
   }
 
-  /** Counts so many tasks of a job, or takes them off where the number is negative. */
+  /** Adds a number of tasks of a job to its team's usage; a negative number subtracts them. */
   void add(JobSpec spec, int tasks) {
     Amounts amounts = byTeam.get(spec.team());
     if (amounts != null) {
@@ -35,7 +35,7 @@
     return byTeam.get(team).cpus;
   }
 
-  /** How many of the wanted tasks the team's limit allows. */
+  /** Number of the wanted tasks that the team's limit allows. */
   int allowed(Settings.Team team, JobSpec spec, int wanted) {
     Amounts amounts = byTeam.get(team.name());
     int byCpus = atMost(wanted, team.cpusMax() - amounts.cpus, spec.cpus());
