--- a/src/main/java/org/baygw/control/placement/MachineCapacity.java
+++ b/src/main/java/org/baygw/control/placement/MachineCapacity.java
@@ -13,7 +13,7 @@
 import org.baygw.control.model.TaskId;
 import org.baygw.control.store.StateCache;
 
-/** Free room of one machine, changed as tasks are put on it in thought. */
+/** Free capacity of one machine, updated as tasks are tentatively placed on it. */
 public final class MachineCapacity {
   private final Machine machine;
   private double cpus;
@@ -50,7 +50,7 @@
     return r;
   }
 
-  /** An empty machine that is on its way or could be rented. */
+  /** Capacity of an empty machine that is booting or could be rented. */
   public static MachineCapacity empty(String name, MachineType type, String zone, boolean spot) {
     return new MachineCapacity(
         new Machine(
@@ -66,7 +66,7 @@
         type);
   }
 
-  /** The same room, to be changed apart from this one. */
+  /** An independent copy; the set of jobs is shared until one of the two changes it. */
   MachineCapacity copy() {
     MachineCapacity r = new MachineCapacity(machine, cpus, gpus, memoryGb);
     r.tasks = tasks;
@@ -92,7 +92,7 @@
     return memoryGb;
   }
 
-  /** Whether a task of the job is there. */
+  /** Whether a task of the job is on the machine. */
   public boolean holds(String job) {
     return jobs.contains(job);
   }
@@ -101,23 +101,23 @@
     return tasks;
   }
 
-  /** Whether the rules and the room allow a task of this job here. */
+  /** Whether a task of the job meets the constraints and fits into the free capacity. */
   public boolean fits(JobSpec s) {
     return fitsWith(s, 0, 0, 0) && suits(s);
   }
 
-  /** Whether there is room for the task if so much more were free. */
+  /** Whether the task would fit if the given amounts were free in addition. */
   public boolean fitsWith(JobSpec s, double moreCpus, double moreGpus, double moreMemoryGb) {
     return cpus + moreCpus + Constants.EPS >= s.cpus()
         && gpus + moreGpus + Constants.EPS >= s.gpus()
         && memoryGb + moreMemoryGb + Constants.EPS >= s.memoryGb();
   }
 
-  /** Whether the task may be here, room or not. */
+  /** Whether the task may run on the machine, regardless of its free resources. */
   public boolean suits(JobSpec s) {
     return tasks < Constants.MACHINE_TASKS
         && allowed(s, machine.type(), machine.zone(), machine.spot())
-        // Copies of a service do not share a machine (the design's anti-colocation).
+        // Replicas of a service do not share a machine (the design's anti-colocation).
         && !(s.service() && jobs.contains(s.id()));
   }
 
@@ -127,7 +127,7 @@
         && (s.spot() || !spot);
   }
 
-  /** Gives back what a task takes here. */
+  /** Releases the resources of a task on the machine. */
   public void free(JobSpec s) {
     cpus += s.cpus();
     gpus += s.gpus();
@@ -136,9 +136,9 @@
   }
 
   /**
-   * How well the machine suits, among those that fit. For a service its image comes first, for it
-   * starts at once then; for others the spot machines, which leave the rest to those that need
-   * them. An empty machine is begun last, as in the search.
+   * Preference among machines on which the task fits; higher is better. A service prefers machines
+   * that have its image, on which it starts at once. Other jobs prefer spot machines, which leaves
+   * the rest to jobs that need them. Empty machines are used last, as in the search.
    */
   public int rank(JobSpec s) {
     int image = machine.images().contains(s.image()) ? 1 : 0;
@@ -147,10 +147,10 @@
   }
 
   /**
-   * Whether the task is better put here than there. Among machines that suit as well the one with
-   * the least room left, as in the search, so that others empty; then the oldest for services,
-   * which stay, and the newest for arrays, which soon leave. Machines are to be compared in order
-   * of age.
+   * Whether the task is better placed on this machine than on the other. Among machines of equal
+   * rank the one with the fewest free CPUs is better, as in the search, so that other machines
+   * become empty; then the oldest for services, which stay, and the newest for arrays, which end
+   * soon. Callers must compare machines in order of age, oldest first.
    */
   public boolean better(MachineCapacity than, JobSpec s) {
     int a = rank(s);
@@ -174,7 +174,7 @@
     jobs.add(s.id());
   }
 
-  /** How many tasks of this job fit, up to so many. */
+  /** Number of tasks of the job that fit, up to a maximum. */
   public int capacity(JobSpec s, int most) {
     if (!fits(s)) {
       return 0;
@@ -186,7 +186,7 @@
     return least(n, memoryGb, s.memoryGb());
   }
 
-  /** Puts as many of the tasks here as fit, in thought; returns how many are left. */
+  /** Tentatively places as many of the tasks as fit; returns how many remain. */
   public int fill(JobSpec s, int waiting) {
     int n = capacity(s, waiting);
     for (int i = 0; i < n; i++) {
