--- a/src/main/java/org/baygw/control/placement/CapacityCache.java
+++ b/src/main/java/org/baygw/control/placement/CapacityCache.java
@@ -5,7 +5,7 @@
 import org.baygw.control.model.Machine;
 import org.baygw.control.store.StateCache;
 
-/** The free room of machines, worked out anew only for those that changed. */
+/** Caches the free capacity of machines; recomputed only for machines that have changed. */
 public final class CapacityCache {
   private record Known(Machine machine, MachineCapacity room) {}
 
@@ -16,7 +16,7 @@
     this.view = view;
   }
 
-  /** A room to be changed in thought; null for a machine of an unknown type. */
+  /** A copy that the caller may change; null for a machine of an unknown type. */
   public MachineCapacity of(Machine m) {
     Known k = known.get(m.name());
     if (k == null || k.machine() != m) {
