--- a/src/main/java/org/baygw/control/placement/BranchAndBound.java
+++ b/src/main/java/org/baygw/control/placement/BranchAndBound.java
@@ -6,21 +6,21 @@
 import org.baygw.control.Constants;
 
 /**
- * The design's search: place the tasks so that alpha times active machines plus mu times moves is
- * least, with at most K moves. After Bartók and Mann (2015), section V; see docs/DESIGN.md. Runs in
- * steps, so that a controller answers others in between, and always holds the best placement so
- * far.
+ * Branch-and-bound search for the placement of tasks that minimizes alpha times the number of
+ * active machines plus mu times the number of moves, with a limit on moves. After Bartók and Mann
+ * (2015), section V; see docs/DESIGN.md. Runs in steps, so that the controller can handle other
+ * events in between, and always holds the best placement found so far.
  */
 public final class BranchAndBound {
-  /** A machine: room left by tasks that stay, and whether there are any. */
+  /** A machine: the resources left free by tasks that stay, and whether there are such tasks. */
   public record Host(double[] free, boolean occupied) {}
 
   /**
    * A task to place.
    *
    * @param current index of its machine, or -1 if it is on none
-   * @param group tasks of the same group may not share a machine; null: no such rule
-   * @param allowed which machines the rules allow; its current one among them
+   * @param group tasks of the same group may not share a machine; null if there is no such rule
+   * @param allowed whether each machine is allowed for the task; its current one always is
    */
   public record Item(double[] load, int current, String group, boolean[] allowed) {}
 
@@ -34,7 +34,7 @@
   private final int maxMoves;
   private final double[] scale;
 
-  // The current partial solution, changed step by step.
+  // The current partial placement.
   private final double[][] free;
   private final int[] at;
   private final int[] held;
@@ -43,7 +43,7 @@
   private int moves;
   private int skipped;
 
-  // The path from the root: the item of each level, its children and the next one to try.
+  // The path from the root: the item at each level, its candidate machines and the next to try.
   private final int[] pathItem;
   private final int[][] pathChildren;
   private final int[] pathNext;
@@ -89,14 +89,14 @@
         waiting[c]++;
       }
     }
-    // Leaving everything where it is always is a solution.
+    // Leaving all tasks where they are is always a valid placement.
     bestCost = costOf(best);
     pathItem = new int[n + 1];
     pathChildren = new int[n + 1][];
     pathNext = new int[n + 1];
   }
 
-  /** Cost of a full placement; a task left unplaced costs as much as two machines. */
+  /** Cost of a complete placement; an unplaced task costs as much as two machines. */
   private double costOf(int[] placement) {
     boolean[] on = new boolean[hosts.size()];
     double cost = 0;
@@ -120,7 +120,7 @@
     return cost;
   }
 
-  /** Where the task was at the start. */
+  /** Index of the machine on which the task was at the start, or -1. */
   public int current(int item) {
     return items.get(item).current();
   }
@@ -129,12 +129,12 @@
     return bestCost;
   }
 
-  /** Machine of each task in the best placement so far; -1: none. */
+  /** Index of each task's machine in the best placement found so far; -1 for none. */
   public int[] best() {
     return best.clone();
   }
 
-  /** Whether something better than leaving everything was found. */
+  /** Whether a better placement than the initial one was found. */
   public boolean improved() {
     return improved;
   }
@@ -147,7 +147,7 @@
     return nodes;
   }
 
-  /** Visits up to so many nodes. Returns true when the whole tree has been searched. */
+  /** Visits up to a number of nodes. Returns true when the whole tree has been searched. */
   public boolean step(int budget) {
     for (int i = 0; i < budget && !over; i++) {
       nodes++;
@@ -158,7 +158,7 @@
 
   private void advance() {
     if (!entered) {
-      // At a node just reached: is it a leaf, hopeless, or to be branched?
+      // A new node: record a leaf, prune by the bound, or branch.
       double cost = cost();
       if (depth == items.size()) {
         if (cost < bestCost - Constants.EPS) {
@@ -205,9 +205,9 @@
   }
 
   /**
-   * The least cost of any completion if capacity did not count: the tasks not placed yet stay where
-   * they are, and the machines that then hold the fewest are emptied while moves are left. Counting
-   * starts at machines that hold one task: one that holds none costs nothing and saves nothing.
+   * Lower bound on the cost of any completion, with capacity ignored: undecided tasks stay where
+   * they are, and the machines with the fewest of them are emptied while moves are left. Counting
+   * starts at machines with one task, since emptying a machine without tasks saves nothing.
    */
   double lowerBound() {
     double cost = cost();
@@ -228,7 +228,8 @@
   }
 
   /**
-   * First fail: the task with the fewest possible machines; the largest single resource on ties.
+   * First-fail order: the task with the fewest possible machines; on ties the one with the largest
+   * share of a single resource.
    */
   private int select() {
     int chosen = -1;
@@ -286,7 +287,7 @@
     return true;
   }
 
-  /** Its own machine first, then the others by free room, machines that are empty last. */
+  /** The current machine first, then others by ascending free resources, empty machines last. */
   private int[] children(int v) {
     Item i = items.get(v);
     List<Integer> others = new ArrayList<>();
@@ -316,7 +317,7 @@
     return held[p] == 0 && waiting[p] == 0 && !hosts.get(p).occupied();
   }
 
-  /** Of empty machines that no task can tell apart only the first is tried. */
+  /** Symmetry breaking: of interchangeable empty machines only the first is tried. */
   private boolean twin(int v, int p) {
     if (!empty(p)) {
       return false;
--- a/src/test/java/org/baygw/control/placement/BranchAndBoundTest.java
+++ b/src/test/java/org/baygw/control/placement/BranchAndBoundTest.java
@@ -17,7 +17,10 @@
   private static final double ALPHA = 10;
   private static final double MU = 1;
 
-  /** Least cost by trying every placement; with capacity left out if relaxed. */
+  /**
+   * Lowest cost over all placements. If relaxed, capacity, rules and the cost of unplaced tasks do
+   * not count.
+   */
   private static double exhaustive(List<Host> hosts, List<Item> items, int k, boolean relaxed) {
     return tryAll(hosts, items, k, relaxed, new int[items.size()], 0);
   }
@@ -78,7 +81,7 @@
     return cost + MU * moves;
   }
 
-  /** A random case whose present placement keeps the rules. */
+  /** Adds a random case whose current placement satisfies the constraints. */
   private static void fill(Random r, List<Host> hosts, List<Item> items, int m, int n) {
     double[][] room = new double[m][];
     for (int p = 0; p < m; p++) {
@@ -126,15 +129,15 @@
           "the bound is above the relaxed optimum in round " + round);
       assertTrue(b.step(1_000_000));
       assertEquals(optimum, b.bestCost(), 1e-6, "round " + round);
-      assertEquals(optimum, cost(hosts, items, k, false, b.best()), 1e-6, "its own placement");
+      assertEquals(optimum, cost(hosts, items, k, false, b.best()), 1e-6, "cost of the best placement");
       better += b.improved() ? 1 : 0;
     }
-    assertTrue(better > 100, "only " + better + " cases had anything to find");
+    assertTrue(better > 100, "only " + better + " cases improved on the initial placement");
   }
 
   @Test
   void theBoundIsExactWhereOnlyEmptyingHelps() {
-    // Two machines with one task, one with two, one with three; three moves: empty 1, 1 (2 moves).
+    // Machines with one, one, two and three tasks; of three moves, two empty the first two machines.
     List<Host> hosts = new ArrayList<>();
     List<Item> items = new ArrayList<>();
     int[] counts = {1, 1, 2, 3};
@@ -176,7 +179,7 @@
     assertFalse(b.step(500));
     assertEquals(500, b.nodes());
     assertTrue(b.bestCost() <= before);
-    assertTrue(Double.isFinite(cost(hosts, items, 2, false, b.best())), "it breaks a constraint");
+    assertTrue(Double.isFinite(cost(hosts, items, 2, false, b.best())), "the best placement violates a constraint");
   }
 
   @Test
