--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -11,7 +11,7 @@
   /** Tasks per progress key. 128 live tasks take about 3 KiB, well inside an 8 KiB value. */
   public static final int CHUNK_TASKS = 128;
 
-  /** Most tasks recorded on one machine: a page has room for several such machines in 8 KiB. */
+  /** Maximum tasks recorded on one machine; a page of 8 KiB holds several such machines. */
   public static final int MACHINE_TASKS = 200;
 
   /**
@@ -20,7 +20,7 @@
    */
   public static final double RECORD_FULL = 0.85;
 
-  /** Share of the value limit that ended tasks may take before progress takes them over. */
+  /** Share of the value limit above which ended tasks are written to their jobs' progress. */
   public static final double RECORD_ENDED = 0.3;
 
   /**
@@ -52,7 +52,7 @@
    */
   public static final int MACHINES_PER_WRITE = 64;
 
-  /** Jobs whose ended tasks are taken over at the same time: it is never urgent. */
+  /** Job writes in flight above which no ended tasks are folded, since folding is never urgent. */
   public static final int FOLDS = 4;
 
   /**
@@ -402,8 +402,8 @@
   public static final long UNGRANT_MS = 4_000;
 
   /**
-   * ms for which a partition that gave a job's tasks back unplaced gets more of them only if no
-   * other has room.
+   * ms for which a partition that returned a job's tasks unplaced gets more of them only if no
+   * other has capacity.
    */
   public static final long AVOID_MS = 20_000;
 
@@ -418,25 +418,28 @@
   /** ms between the leader's passes over the queue. */
   public static final long SCHEDULER_PASS_MS = 100;
 
-  /** ms added to that while nothing has changed: only waiting times grow meanwhile. */
+  /** ms added between passes while nothing has changed, since only waiting times grow then. */
   public static final long SCHEDULER_IDLE_PASS_MS = 1_000;
 
   /**
-   * ms added to that for each machine: a pass looks at each, and may not take most of a processor.
+   * ms added between passes for each machine: a pass examines every machine, and passes must not
+   * take most of a processor.
    */
   public static final double SCHEDULER_PASS_MS_A_MACHINE = 0.2;
 
-  /** ms between them while tokens for writes are scarce: more tasks of a job share a grant. */
+  /**
+   * ms between passes while write tokens are scarce, so that a grant covers more tasks of a job.
+   */
   public static final long SCHEDULER_SCARCE_MS = 400;
 
   /**
-   * ms for which tasks that found no room keep their share of the team's limit: about a boot of the
-   * machines that are rented for them. After it the cloud may have none to give, and others of the
-   * team for which there is room must not wait behind them.
+   * ms for which tasks without capacity keep their share of the team's limit: about the boot time
+   * of the machines rented for them. After that the cloud may have no such machines, and other
+   * tasks of the team for which there is capacity must not wait behind them.
    */
   public static final long LIMIT_RESERVED_MS = 60_000;
 
-  /** ms between two looks for what the leader need not remember any more. */
+  /** ms between removals of ended grants from the leader's memory. */
   public static final long SCHEDULER_CLEAN_MS = 10_000;
 
   /** Errors on a machine with no completed task in between that make it sick. */
@@ -529,39 +532,39 @@
   public static final long MOVE_PLAN_MS = 15_000;
 
   /**
-   * ms after which a job within its team's guarantee of which nothing runs goes first in the queue:
-   * tasks last a minute, so some end every second and most room comes free without a stop.
+   * ms after which a job within its team's guarantee that has not started moves ahead in the queue:
+   * tasks last a minute, so some end every second and most capacity frees up without preemption.
    */
   public static final long FIRST_MS = 45_000;
 
   /**
-   * ms after which a job of which nothing runs goes first in any case: users allow four minutes for
-   * the largest jobs to begin, and room for one comes free within a minute or two.
+   * ms after which any job that has not started moves ahead in the queue: users allow four minutes
+   * for the largest jobs to start, and capacity for one frees up within a minute or two.
    */
   public static final long STARVED_MS = 100_000;
 
-  /** ms after which borrowed room is taken back for such a job by stopping tasks. */
+  /**
+   * ms after which borrowed capacity is reclaimed, by stopping tasks, for a job within its team's
+   * guarantee that has not started.
+   */
   public static final long RECLAIM_MS = 75_000;
 
-  /** s for which a task must run for its start to count (protocol, with some time to spare). */
+  /** s for which a task must run for its start to count: the protocol's time with some margin. */
   public static final double START_COUNTS_S = 35;
 
-  /** s of lost work that a start with its image there is worth: about one fetch. */
+  /** s of lost work that a start without the image is rated at: about the time of one fetch. */
   public static final double COLD_COST_S = 3;
 
-  /** s of lost work that a second of saving is worth, for the one that waits for the room. */
+  /** s of lost work that a second of saving is rated at, since a task waits for the capacity. */
   public static final double SAVE_COST = 4;
 
-  /**
-   * Machines looked at for one job that others are stopped for, in one pass: a pass must stay
-   * short.
-   */
+  /** Maximum machines examined for victims for one job in one pass, so that a pass stays short. */
   public static final int PREEMPT_LOOKS = 120;
 
-  /** Tasks the leader may stop in one pass to make room. */
+  /** Tasks stopped in one pass at which the search for more victims ends. */
   public static final int PREEMPT_PER_PASS = 16;
 
-  /** Relative slack when amounts are compared: they are sums of decimals. */
+  /** Tolerance when amounts are compared, since they are sums of decimal fractions. */
   public static final double EPS = 1e-6;
 
   private Constants() {}
