--- a/src/test/java/org/baygw/control/placement/BranchAndBoundTest.java
+++ b/src/test/java/org/baygw/control/placement/BranchAndBoundTest.java
@@ -129,7 +129,8 @@
           "the bound is above the relaxed optimum in round " + round);
       assertTrue(b.step(1_000_000));
       assertEquals(optimum, b.bestCost(), 1e-6, "round " + round);
-      assertEquals(optimum, cost(hosts, items, k, false, b.best()), 1e-6, "cost of the best placement");
+      assertEquals(
+          optimum, cost(hosts, items, k, false, b.best()), 1e-6, "cost of the best placement");
       better += b.improved() ? 1 : 0;
     }
     assertTrue(better > 100, "only " + better + " cases improved on the initial placement");
@@ -137,7 +138,8 @@
 
   @Test
   void theBoundIsExactWhereOnlyEmptyingHelps() {
-    // Machines with one, one, two and three tasks; of three moves, two empty the first two machines.
+    // Machines with one, one, two and three tasks; of three moves, two empty the first two
+    // machines.
     List<Host> hosts = new ArrayList<>();
     List<Item> items = new ArrayList<>();
     int[] counts = {1, 1, 2, 3};
@@ -179,7 +181,9 @@
     assertFalse(b.step(500));
     assertEquals(500, b.nodes());
     assertTrue(b.bestCost() <= before);
-    assertTrue(Double.isFinite(cost(hosts, items, 2, false, b.best())), "the best placement violates a constraint");
+    assertTrue(
+        Double.isFinite(cost(hosts, items, 2, false, b.best())),
+        "the best placement violates a constraint");
   }
 
   @Test
