--- a/src/main/java/org/baygw/control/placement/BranchAndBound.java
+++ b/src/main/java/org/baygw/control/placement/BranchAndBound.java
@@ -22,7 +22,7 @@
    * @param group tasks of the same group may not share a machine; null if there is no such rule
    * @param allowed whether each machine is allowed for the task; its current one always is
    */
-  public record Item(double[] load, int current, String group, boolean[] allowed) {}
+  public record Item(double[] load, int currentHost, String group, boolean[] allowed) {}
 
   private static final int UNPLACED = -1;
   private static final int OPEN = -2;
@@ -49,10 +49,10 @@
   private final int[] pathNext;
   private int depth;
   private boolean entered;
-  private boolean over;
+  private boolean exhausted;
   private long nodes;
 
-  private final int[] best;
+  private final int[] bestPlacement;
   private double bestCost;
   private boolean improved;
 
@@ -81,16 +81,16 @@
     }
     at = new int[n];
     Arrays.fill(at, OPEN);
-    best = new int[n];
+    bestPlacement = new int[n];
     for (int v = 0; v < n; v++) {
-      int c = items.get(v).current();
-      best[v] = c;
+      int c = items.get(v).currentHost();
+      bestPlacement[v] = c;
       if (c >= 0) {
         waiting[c]++;
       }
     }
     // Leaving all tasks where they are is always a valid placement.
-    bestCost = costOf(best);
+    bestCost = costOf(bestPlacement);
     pathItem = new int[n + 1];
     pathChildren = new int[n + 1][];
     pathNext = new int[n + 1];
@@ -109,7 +109,7 @@
         cost += 2 * alpha;
       } else {
         on[p] = true;
-        if (items.get(v).current() >= 0 && items.get(v).current() != p) {
+        if (items.get(v).currentHost() >= 0 && items.get(v).currentHost() != p) {
           cost += mu;
         }
       }
@@ -121,8 +121,8 @@
   }
 
   /** Index of the machine on which the task was at the start, or -1. */
-  public int current(int item) {
-    return items.get(item).current();
+  public int currentHost(int item) {
+    return items.get(item).currentHost();
   }
 
   public double bestCost() {
@@ -130,8 +130,8 @@
   }
 
   /** Index of each task's machine in the best placement found so far; -1 for none. */
-  public int[] best() {
-    return best.clone();
+  public int[] bestPlacement() {
+    return bestPlacement.clone();
   }
 
   /** Whether a better placement than the initial one was found. */
@@ -139,8 +139,8 @@
     return improved;
   }
 
-  public boolean over() {
-    return over;
+  public boolean exhausted() {
+    return exhausted;
   }
 
   public long nodes() {
@@ -149,11 +149,11 @@
 
   /** Visits up to a number of nodes. Returns true when the whole tree has been searched. */
   public boolean step(int budget) {
-    for (int i = 0; i < budget && !over; i++) {
+    for (int i = 0; i < budget && !exhausted; i++) {
       nodes++;
       advance();
     }
-    return over;
+    return exhausted;
   }
 
   private void advance() {
@@ -163,7 +163,7 @@
       if (depth == items.size()) {
         if (cost < bestCost - Constants.EPS) {
           bestCost = cost;
-          System.arraycopy(at, 0, best, 0, at.length);
+          System.arraycopy(at, 0, bestPlacement, 0, at.length);
           improved = true;
         }
         back();
@@ -192,7 +192,7 @@
 
   private void back() {
     if (depth == 0) {
-      over = true;
+      exhausted = true;
       return;
     }
     depth--;
@@ -269,7 +269,7 @@
     if (!i.allowed()[p]) {
       return false;
     }
-    if (i.current() >= 0 && i.current() != p && moves >= maxMoves) {
+    if (i.currentHost() >= 0 && i.currentHost() != p && moves >= maxMoves) {
       return false;
     }
     for (int k = 0; k < free[p].length; k++) {
@@ -292,7 +292,7 @@
     Item i = items.get(v);
     List<Integer> others = new ArrayList<>();
     for (int p = 0; p < free.length; p++) {
-      if (p != i.current() && fits(v, p) && !twin(v, p)) {
+      if (p != i.currentHost() && fits(v, p) && !twin(v, p)) {
         others.add(p);
       }
     }
@@ -303,11 +303,11 @@
           return ea != eb ? Boolean.compare(ea, eb) : Arrays.compare(free[a], free[b]);
         });
     List<Integer> out = new ArrayList<>();
-    if (i.current() >= 0 && fits(v, i.current())) {
-      out.add(i.current());
+    if (i.currentHost() >= 0 && fits(v, i.currentHost())) {
+      out.add(i.currentHost());
     }
     out.addAll(others);
-    if (i.current() < 0) {
+    if (i.currentHost() < 0) {
       out.add(UNPLACED);
     }
     return out.stream().mapToInt(Integer::intValue).toArray();
@@ -342,8 +342,8 @@
   private void place(int v, int p) {
     Item i = items.get(v);
     at[v] = p;
-    if (i.current() >= 0) {
-      waiting[i.current()]--;
+    if (i.currentHost() >= 0) {
+      waiting[i.currentHost()]--;
     }
     if (p == UNPLACED) {
       skipped++;
@@ -352,7 +352,7 @@
     if (held[p]++ == 0 && !hosts.get(p).occupied()) {
       active++;
     }
-    if (i.current() >= 0 && i.current() != p) {
+    if (i.currentHost() >= 0 && i.currentHost() != p) {
       moves++;
     }
     for (int k = 0; k < free[p].length; k++) {
@@ -364,8 +364,8 @@
     Item i = items.get(v);
     int p = at[v];
     at[v] = OPEN;
-    if (i.current() >= 0) {
-      waiting[i.current()]++;
+    if (i.currentHost() >= 0) {
+      waiting[i.currentHost()]++;
     }
     if (p == UNPLACED) {
       skipped--;
@@ -374,7 +374,7 @@
     if (--held[p] == 0 && !hosts.get(p).occupied()) {
       active--;
     }
-    if (i.current() >= 0 && i.current() != p) {
+    if (i.currentHost() >= 0 && i.currentHost() != p) {
       moves--;
     }
     for (int k = 0; k < free[p].length; k++) {
--- a/src/main/java/org/baygw/control/placement/MachineCapacity.java
+++ b/src/main/java/org/baygw/control/placement/MachineCapacity.java
@@ -44,7 +44,7 @@
     for (Map.Entry<TaskId, Integer> t : m.tasks().entrySet()) {
       StateCache.Entry<Job> j = view.jobs.get(t.getKey().job());
       if (j != null) {
-        r.take(j.value().spec());
+        r.reserve(j.value().spec());
       }
     }
     return r;
@@ -93,7 +93,7 @@
   }
 
   /** Whether a task of the job is on the machine. */
-  public boolean holds(String job) {
+  public boolean hasTaskOf(String job) {
     return jobs.contains(job);
   }
 
@@ -103,18 +103,18 @@
 
   /** Whether a task of the job meets the constraints and fits into the free capacity. */
   public boolean fits(JobSpec s) {
-    return fitsWith(s, 0, 0, 0) && suits(s);
+    return hasResourcesFor(s, 0, 0, 0) && meetsConstraints(s);
   }
 
   /** Whether the task would fit if the given amounts were free in addition. */
-  public boolean fitsWith(JobSpec s, double moreCpus, double moreGpus, double moreMemoryGb) {
+  public boolean hasResourcesFor(JobSpec s, double moreCpus, double moreGpus, double moreMemoryGb) {
     return cpus + moreCpus + Constants.EPS >= s.cpus()
         && gpus + moreGpus + Constants.EPS >= s.gpus()
         && memoryGb + moreMemoryGb + Constants.EPS >= s.memoryGb();
   }
 
   /** Whether the task may run on the machine, regardless of its free resources. */
-  public boolean suits(JobSpec s) {
+  public boolean meetsConstraints(JobSpec s) {
     return tasks < Constants.MACHINE_TASKS
         && allowed(s, machine.type(), machine.zone(), machine.spot())
         // Replicas of a service do not share a machine (the design's anti-colocation).
@@ -128,7 +128,7 @@
   }
 
   /** Releases the resources of a task on the machine. */
-  public void free(JobSpec s) {
+  public void release(JobSpec s) {
     cpus += s.cpus();
     gpus += s.gpus();
     memoryGb += s.memoryGb();
@@ -152,7 +152,7 @@
    * become empty; then the oldest for services, which stay, and the newest for arrays, which end
    * soon. Callers must compare machines in order of age, oldest first.
    */
-  public boolean better(MachineCapacity than, JobSpec s) {
+  public boolean isBetterThan(MachineCapacity than, JobSpec s) {
     int a = rank(s);
     int b = than.rank(s);
     if (a != b) {
@@ -162,7 +162,7 @@
     return Math.abs(more) > Constants.EPS ? more < 0 : !s.service();
   }
 
-  public void take(JobSpec s) {
+  public void reserve(JobSpec s) {
     cpus -= s.cpus();
     gpus -= s.gpus();
     memoryGb -= s.memoryGb();
@@ -175,7 +175,7 @@
   }
 
   /** Number of tasks of the job that fit, up to a maximum. */
-  public int capacity(JobSpec s, int most) {
+  public int countFitting(JobSpec s, int most) {
     if (!fits(s)) {
       return 0;
     }
@@ -188,9 +188,9 @@
 
   /** Tentatively places as many of the tasks as fit; returns how many remain. */
   public int fill(JobSpec s, int waiting) {
-    int n = capacity(s, waiting);
+    int n = countFitting(s, waiting);
     for (int i = 0; i < n; i++) {
-      take(s);
+      reserve(s);
     }
     return waiting - n;
   }
--- a/src/main/java/org/baygw/control/quota/FreeCapacity.java
+++ b/src/main/java/org/baygw/control/quota/FreeCapacity.java
@@ -125,7 +125,7 @@
       for (MachineCapacity room : entry.getValue()) {
         if (room.fits(spec)) {
           free += room.tasks() > 0 ? room.freeCpus() : 0;
-          fit = fit == null || room.better(fit, spec) ? room : fit;
+          fit = fit == null || room.isBetterThan(fit, spec) ? room : fit;
         }
       }
       int rank = fit == null ? -1 : avoided.contains(part) ? 0 : fit.rank(spec) + 1;
--- a/src/main/java/org/baygw/control/quota/Preemption.java
+++ b/src/main/java/org/baygw/control/quota/Preemption.java
@@ -123,8 +123,9 @@
 
   private boolean mayStopOthers(UnmetDemand demand, TeamUsage usage) {
     return demand.spec().priority() == JobSpec.Priority.PRODUCTION
-        || demand.standing().reclaims()
-        || !demand.standing().guest() && guests.stream().anyMatch(team -> usage.cpus(team) > 0);
+        || demand.entitlement().mayReclaim()
+        || !demand.entitlement().teamWithoutGuarantee()
+            && guests.stream().anyMatch(team -> usage.cpus(team) > 0);
   }
 
   /** One pass: the tasks chosen to be stopped, and the capacity that this frees. */
@@ -173,7 +174,7 @@
           MachineCapacity room = machines.get((firstLook + i) % machines.size());
           if (room.machine().images().contains(demand.spec().image()) == image
               && (demand.zone() == null || demand.zone().equals(room.machine().zone()))
-              && room.suits(demand.spec())) {
+              && room.meetsConstraints(demand.spec())) {
             looked++;
             put(found, room, needed(demand, room));
           }
@@ -202,20 +203,20 @@
 
     private void choose(UnmetDemand demand, MachineCapacity room, Stops stops) {
       for (Victim victim : stops.victims()) {
-        room.free(victim.spec());
+        room.release(victim.spec());
         victims.get(room).remove(victim);
         usage.add(victim.spec(), -1);
         byJob.computeIfAbsent(victim.task().job(), k -> new ArrayList<>()).add(victim);
         live.merge(victim.task().job(), -1, Integer::sum);
       }
-      room.take(demand.spec());
+      room.reserve(demand.spec());
       stopped += stops.victims().size();
     }
 
     /** The tasks to stop so that the task fits on the machine; null if it cannot fit. */
     private Stops needed(UnmetDemand demand, MachineCapacity room) {
       JobSpec spec = demand.spec();
-      if (!room.suits(spec)) {
+      if (!room.meetsConstraints(spec)) {
         return null; // a replica of the service has been planned there meanwhile
       }
       List<Victim> candidates = victims.computeIfAbsent(room, Preemption.this::victims);
@@ -224,7 +225,7 @@
       double memoryGb = 0;
       double cost = room.machine().images().contains(spec.image()) ? 0 : Constants.COLD_COST_S;
       List<Victim> chosen = new ArrayList<>();
-      boolean fits = room.fitsWith(spec, cpus, gpus, memoryGb);
+      boolean fits = room.hasResourcesFor(spec, cpus, gpus, memoryGb);
       for (Victim victim : candidates) {
         if (fits) {
           break;
@@ -238,7 +239,7 @@
         gpus += other.gpus();
         memoryGb += other.memoryGb();
         cost += victim.cost();
-        fits = room.fitsWith(spec, cpus, gpus, memoryGb);
+        fits = room.hasResourcesFor(spec, cpus, gpus, memoryGb);
       }
       return fits ? new Stops(chosen, cost) : null;
     }
@@ -251,7 +252,7 @@
     private boolean mayStop(UnmetDemand demand, Victim victim, List<Victim> chosen) {
       return demand.spec().priority() == JobSpec.Priority.PRODUCTION
           || isGuestThatYields(demand, victim, chosen)
-          || demand.standing().reclaims() && isBorrowed(demand, victim, chosen);
+          || demand.entitlement().mayReclaim() && isBorrowed(demand, victim, chosen);
     }
 
     /**
@@ -262,11 +263,11 @@
     private boolean isGuestThatYields(UnmetDemand demand, Victim victim, List<Victim> chosen) {
       JobSpec other = victim.spec();
       boolean weaker =
-          demand.standing().guaranteed()
+          demand.entitlement().guaranteed()
               || demand.spec().priority().compareTo(other.priority()) < 0;
       return weaker
           && guests.contains(other.team())
-          && !demand.standing().guest()
+          && !demand.entitlement().teamWithoutGuarantee()
           && other.checkpoints()
           && grantAgeS.applyAsDouble(victim.task()) > Constants.START_COUNTS_S
           && live(other.id()) - count(chosen, v -> v.spec() == other) > 1;
@@ -354,7 +355,7 @@
       }
       JobSpec spec = job.value().spec();
       if (live.stop() || stopping.contains(task) || !job.value().open()) {
-        room.free(spec);
+        room.release(spec);
       } else if (!writes.busy(task.job()) && spec.priority() != JobSpec.Priority.PRODUCTION) {
         found.add(new Victim(task, spec, cost(task, spec)));
       }
--- a/src/main/java/org/baygw/control/quota/QueuedJob.java
+++ b/src/main/java/org/baygw/control/quota/QueuedJob.java
@@ -57,8 +57,8 @@
   }
 
   /** What the job is entitled to. */
-  UnmetDemand.Standing standing() {
+  UnmetDemand.Entitlement standing() {
     boolean reclaims = guaranteed && idleMs > Constants.RECLAIM_MS;
-    return new UnmetDemand.Standing(guaranteed, reclaims, guest, idleMs == 0);
+    return new UnmetDemand.Entitlement(guaranteed, reclaims, guest, idleMs == 0);
   }
 }
--- a/src/main/java/org/baygw/control/quota/Scheduler.java
+++ b/src/main/java/org/baygw/control/quota/Scheduler.java
@@ -363,7 +363,7 @@
     }
 
     private void add(int chunk, Progress now, int index, FreeCapacity.Place place) {
-      place.room().take(job.spec());
+      place.room().reserve(job.spec());
       next.computeIfAbsent(chunk, k -> now == null ? new Progress() : now.copy())
           .grant(index, place.part());
       partitions.merge(place.part(), 1, Integer::sum);
--- a/src/main/java/org/baygw/control/quota/UnmetDemand.java
+++ b/src/main/java/org/baygw/control/quota/UnmetDemand.java
@@ -11,7 +11,8 @@
  * @param waitedMs ms for which the job has had such tasks
  * @param standing what the job is entitled to
  */
-public record UnmetDemand(JobSpec spec, String zone, int count, long waitedMs, Standing standing) {
+public record UnmetDemand(
+    JobSpec spec, String zone, int count, long waitedMs, Entitlement entitlement) {
 
   /**
    * What a job is entitled to.
@@ -22,11 +23,12 @@
    * @param guest whether its team has no guarantee
    * @param begun whether a task of it is live or done
    */
-  public record Standing(boolean guaranteed, boolean reclaims, boolean guest, boolean begun) {}
+  public record Entitlement(
+      boolean guaranteed, boolean mayReclaim, boolean teamWithoutGuarantee, boolean started) {}
 
   /** The same demand for the remaining tasks. */
   UnmetDemand withCount(int left) {
-    return new UnmetDemand(spec, zone, left, waitedMs, standing);
+    return new UnmetDemand(spec, zone, left, waitedMs, entitlement);
   }
 
   /**
@@ -35,9 +37,9 @@
    * might not start in time.
    */
   public boolean canWaitForSpot() {
-    return standing.guest()
+    return entitlement.teamWithoutGuarantee()
         && spec.spot()
         && spec.priority() == JobSpec.Priority.LOW
-        && (standing.begun() || waitedMs < Constants.STARVED_MS);
+        && (entitlement.started() || waitedMs < Constants.STARVED_MS);
   }
 }
--- a/src/main/java/org/baygw/control/workers/ConsolidationRound.java
+++ b/src/main/java/org/baygw/control/workers/ConsolidationRound.java
@@ -155,7 +155,7 @@
                       || MachineCapacity.allowed(s, m.type(), m.zone(), m.spot())
                           // A replica is down while its image is fetched.
                           && (!s.service() || cached.cached(m.name(), s.image()))
-                          && (!s.service() || !rooms.get(q).holds(s.id()))
+                          && (!s.service() || !rooms.get(q).hasTaskOf(s.id()))
                           && (!s.spread() || m.zone().equals(rooms.get(p).machine().zone()));
             }
             double[] load = {s.cpus(), s.gpus(), s.memoryGb()};
@@ -236,17 +236,17 @@
 
   private Map<TaskId, String> finish(long now) {
     Map<TaskId, String> placed = new LinkedHashMap<>();
-    int[] best = search.best();
+    int[] best = search.bestPlacement();
     if (search.improved()) {
       found++;
       for (int v = 0; v < best.length; v++) {
-        if (search.current(v) < 0 && best[v] >= 0) {
+        if (search.currentHost(v) < 0 && best[v] >= 0) {
           placed.put(tasks.get(v), machines.get(best[v]));
-        } else if (best[v] >= 0 && best[v] != search.current(v)) {
+        } else if (best[v] >= 0 && best[v] != search.currentHost(v)) {
           moves.put(
               tasks.get(v),
               new Move(
-                  machines.get(search.current(v)),
+                  machines.get(search.currentHost(v)),
                   machines.get(best[v]),
                   now + Constants.MOVE_PLAN_MS));
           planned++;
--- a/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
+++ b/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
@@ -119,7 +119,7 @@
         }
       }
       if (r != null) {
-        r.take(s);
+        r.reserve(s);
         last = r;
         lastJob = t.job();
         String name = r.machine().name();
@@ -160,7 +160,7 @@
       MachineCapacity r = room(a, e.value());
       if (r != null) {
         for (TaskId t : coming.getOrDefault(name, List.of())) {
-          r.take(view.jobs.get(t.job()).value().spec());
+          r.reserve(view.jobs.get(t.job()).value().spec());
         }
         out.add(r);
       }
@@ -190,7 +190,7 @@
         if (s.getValue().state() != WorkerCodec.State.ENDED && !m.tasks().containsKey(s.getKey())) {
           StateCache.Entry<Job> j = view.jobs.get(s.getKey().job());
           if (j != null) {
-            r.take(j.value().spec()); // not in the record, but there until it is killed
+            r.reserve(j.value().spec()); // not in the record, but there until it is killed
           }
         }
       }
@@ -221,7 +221,7 @@
       if (!r.fits(s) || failures.avoids(s.id(), r.machine().name())) {
         continue;
       }
-      if (best == null || r.better(best, s)) {
+      if (best == null || r.isBetterThan(best, s)) {
         best = r;
       }
     }
--- a/src/test/java/org/baygw/control/placement/BranchAndBoundTest.java
+++ b/src/test/java/org/baygw/control/placement/BranchAndBoundTest.java
@@ -31,7 +31,7 @@
       return cost(hosts, items, k, relaxed, at);
     }
     double best = Double.POSITIVE_INFINITY;
-    for (int p = items.get(v).current() < 0 ? -1 : 0; p < hosts.size(); p++) {
+    for (int p = items.get(v).currentHost() < 0 ? -1 : 0; p < hosts.size(); p++) {
       if (p < 0 || relaxed || items.get(v).allowed()[p]) {
         at[v] = p;
         best = Math.min(best, tryAll(hosts, items, k, relaxed, at, v + 1));
@@ -56,7 +56,7 @@
         continue;
       }
       on[at[v]] = true;
-      moves += i.current() >= 0 && i.current() != at[v] ? 1 : 0;
+      moves += i.currentHost() >= 0 && i.currentHost() != at[v] ? 1 : 0;
       for (int d = 0; d < i.load().length; d++) {
         free[at[v]][d] -= i.load()[d];
         if (!relaxed && free[at[v]][d] < -1e-6) {
@@ -96,7 +96,7 @@
       if (current >= 0) {
         boolean taken = room[current][0] < load[0] || room[current][1] < load[1];
         for (Item i : items) {
-          taken |= i.current() == current && group != null && group.equals(i.group());
+          taken |= i.currentHost() == current && group != null && group.equals(i.group());
         }
         if (taken) {
           current = -1;
@@ -130,7 +130,10 @@
       assertTrue(b.step(1_000_000));
       assertEquals(optimum, b.bestCost(), 1e-6, "round " + round);
       assertEquals(
-          optimum, cost(hosts, items, k, false, b.best()), 1e-6, "cost of the best placement");
+          optimum,
+          cost(hosts, items, k, false, b.bestPlacement()),
+          1e-6,
+          "cost of the best placement");
       better += b.improved() ? 1 : 0;
     }
     assertTrue(better > 100, "only " + better + " cases improved on the initial placement");
@@ -182,7 +185,7 @@
     assertEquals(500, b.nodes());
     assertTrue(b.bestCost() <= before);
     assertTrue(
-        Double.isFinite(cost(hosts, items, 2, false, b.best())),
+        Double.isFinite(cost(hosts, items, 2, false, b.bestPlacement())),
         "the best placement violates a constraint");
   }
 
@@ -195,7 +198,7 @@
             new Item(new double[] {2}, -1, null, all), new Item(new double[] {1}, -1, null, all));
     BranchAndBound b = new BranchAndBound(hosts, items, ALPHA, MU, 0);
     assertTrue(b.step(100));
-    assertTrue(Arrays.equals(new int[] {-1, 0}, b.best()));
+    assertTrue(Arrays.equals(new int[] {-1, 0}, b.bestPlacement()));
   }
 
   @Test
