--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -12,7 +12,7 @@
   public static final int CHUNK_TASKS = 128;
 
   /** Maximum tasks recorded on one machine; a page of 8 KiB holds several such machines. */
-  public static final int MACHINE_TASKS = 200;
+  public static final int MAX_TASKS_PER_MACHINE = 200;
 
   /**
    * Share of the state service's value limit up to which a page of a partition's record takes new
@@ -21,7 +21,7 @@
   public static final double RECORD_FULL = 0.85;
 
   /** Share of the value limit above which ended tasks are written to their jobs' progress. */
-  public static final double RECORD_ENDED = 0.3;
+  public static final double RECORD_ENDED_SHARE = 0.3;
 
   /**
    * Share of it that what a page's machines have to do takes when pages of the record are split:
@@ -53,7 +53,7 @@
   public static final int MACHINES_PER_WRITE = 64;
 
   /** Job writes in flight above which no ended tasks are folded, since folding is never urgent. */
-  public static final int FOLDS = 4;
+  public static final int FOLD_MAX_WRITES = 4;
 
   /**
    * Assignments of the partitions kept, by members: they change by one or two at a time, and a
@@ -405,7 +405,7 @@
    * ms for which a partition that returned a job's tasks unplaced gets more of them only if no
    * other has capacity.
    */
-  public static final long AVOID_MS = 20_000;
+  public static final long PARTITION_AVOID_MS = 20_000;
 
   /**
    * ms between looks at which of an owner's machines are quiet; what changes is looked at at once.
@@ -425,12 +425,12 @@
    * ms added between passes for each machine: a pass examines every machine, and passes must not
    * take most of a processor.
    */
-  public static final double SCHEDULER_PASS_MS_A_MACHINE = 0.2;
+  public static final double SCHEDULER_PASS_MS_PER_MACHINE = 0.2;
 
   /**
    * ms between passes while write tokens are scarce, so that a grant covers more tasks of a job.
    */
-  public static final long SCHEDULER_SCARCE_MS = 400;
+  public static final long SCHEDULER_SCARCE_PASS_MS = 400;
 
   /**
    * ms for which tasks without capacity keep their share of the team's limit: about the boot time
@@ -440,7 +440,7 @@
   public static final long LIMIT_RESERVED_MS = 60_000;
 
   /** ms between removals of ended grants from the leader's memory. */
-  public static final long SCHEDULER_CLEAN_MS = 10_000;
+  public static final long SCHEDULER_CLEANUP_MS = 10_000;
 
   /** Errors on a machine with no completed task in between that make it sick. */
   public static final int SICK_ERRORS = 3;
@@ -535,7 +535,7 @@
    * ms after which a job within its team's guarantee that has not started moves ahead in the queue:
    * tasks last a minute, so some end every second and most capacity frees up without preemption.
    */
-  public static final long FIRST_MS = 45_000;
+  public static final long GUARANTEED_OVERDUE_MS = 45_000;
 
   /**
    * ms after which any job that has not started moves ahead in the queue: users allow four minutes
@@ -550,19 +550,19 @@
   public static final long RECLAIM_MS = 75_000;
 
   /** s for which a task must run for its start to count: the protocol's time with some margin. */
-  public static final double START_COUNTS_S = 35;
+  public static final double MIN_START_RUN_S = 35;
 
   /** s of lost work that a start without the image is rated at: about the time of one fetch. */
-  public static final double COLD_COST_S = 3;
+  public static final double COLD_START_COST_S = 3;
 
   /** s of lost work that a second of saving is rated at, since a task waits for the capacity. */
-  public static final double SAVE_COST = 4;
+  public static final double SAVE_COST_FACTOR = 4;
 
   /** Maximum machines examined for victims for one job in one pass, so that a pass stays short. */
-  public static final int PREEMPT_LOOKS = 120;
+  public static final int PREEMPT_MAX_MACHINES = 120;
 
   /** Tasks stopped in one pass at which the search for more victims ends. */
-  public static final int PREEMPT_PER_PASS = 16;
+  public static final int PREEMPT_MAX_TASKS = 16;
 
   /** Tolerance when amounts are compared, since they are sums of decimal fractions. */
   public static final double EPS = 1e-6;
--- a/src/main/java/org/baygw/control/placement/MachineCapacity.java
+++ b/src/main/java/org/baygw/control/placement/MachineCapacity.java
@@ -115,7 +115,7 @@
 
   /** Whether the task may run on the machine, regardless of its free resources. */
   public boolean meetsConstraints(JobSpec s) {
-    return tasks < Constants.MACHINE_TASKS
+    return tasks < Constants.MAX_TASKS_PER_MACHINE
         && allowed(s, machine.type(), machine.zone(), machine.spot())
         // Replicas of a service do not share a machine (the design's anti-colocation).
         && !(s.service() && jobs.contains(s.id()));
@@ -180,7 +180,7 @@
       return 0;
     }
     int n = s.service() ? 1 : most;
-    n = Math.min(n, Constants.MACHINE_TASKS - tasks);
+    n = Math.min(n, Constants.MAX_TASKS_PER_MACHINE - tasks);
     n = least(n, cpus, s.cpus());
     n = least(n, gpus, s.gpus());
     return least(n, memoryGb, s.memoryGb());
--- a/src/main/java/org/baygw/control/quota/PartitionAvoidance.java
+++ b/src/main/java/org/baygw/control/quota/PartitionAvoidance.java
@@ -51,7 +51,7 @@
         if (cameBackUnplaced(entry.getKey())) {
           avoided
               .computeIfAbsent(entry.getKey().job(), k -> new HashMap<>())
-              .put(entry.getValue(), now + Constants.AVOID_MS);
+              .put(entry.getValue(), now + Constants.PARTITION_AVOID_MS);
         }
       }
     }
--- a/src/main/java/org/baygw/control/quota/Preemption.java
+++ b/src/main/java/org/baygw/control/quota/Preemption.java
@@ -104,7 +104,7 @@
     stopping.removeIf(task -> view.grant(task) == null);
     Pass pass = new Pass(usage, guaranteed);
     ListIterator<UnmetDemand> it = unmet.listIterator();
-    while (it.hasNext() && pass.stopped < Constants.PREEMPT_PER_PASS) {
+    while (it.hasNext() && pass.stopped < Constants.PREEMPT_MAX_TASKS) {
       UnmetDemand demand = it.next();
       if (mayStopOthers(demand, usage)) {
         int left = pass.makeRoom(demand);
@@ -155,7 +155,7 @@
       }
       int left = demand.count();
       Map<MachineCapacity, Stops> options = options(demand);
-      while (left > 0 && stopped < Constants.PREEMPT_PER_PASS && stopCheapest(demand, options)) {
+      while (left > 0 && stopped < Constants.PREEMPT_MAX_TASKS && stopCheapest(demand, options)) {
         left--;
       }
       return left;
@@ -170,7 +170,7 @@
       Map<MachineCapacity, Stops> found = new LinkedHashMap<>();
       int looked = 0;
       for (boolean image : new boolean[] {true, false}) {
-        for (int i = 0; i < machines.size() && looked < Constants.PREEMPT_LOOKS; i++) {
+        for (int i = 0; i < machines.size() && looked < Constants.PREEMPT_MAX_MACHINES; i++) {
           MachineCapacity room = machines.get((firstLook + i) % machines.size());
           if (room.machine().images().contains(demand.spec().image()) == image
               && (demand.zone() == null || demand.zone().equals(room.machine().zone()))
@@ -180,7 +180,7 @@
           }
         }
       }
-      if (machines.size() > Constants.PREEMPT_LOOKS) {
+      if (machines.size() > Constants.PREEMPT_MAX_MACHINES) {
         firstLook = (firstLook + looked) % machines.size();
       }
       return found;
@@ -223,7 +223,8 @@
       double cpus = 0;
       double gpus = 0;
       double memoryGb = 0;
-      double cost = room.machine().images().contains(spec.image()) ? 0 : Constants.COLD_COST_S;
+      double cost =
+          room.machine().images().contains(spec.image()) ? 0 : Constants.COLD_START_COST_S;
       List<Victim> chosen = new ArrayList<>();
       boolean fits = room.hasResourcesFor(spec, cpus, gpus, memoryGb);
       for (Victim victim : candidates) {
@@ -269,7 +270,7 @@
           && guests.contains(other.team())
           && !demand.entitlement().teamWithoutGuarantee()
           && other.checkpoints()
-          && grantAgeS.applyAsDouble(victim.task()) > Constants.START_COUNTS_S
+          && grantAgeS.applyAsDouble(victim.task()) > Constants.MIN_START_RUN_S
           && live(other.id()) - count(chosen, v -> v.spec() == other) > 1;
     }
 
@@ -370,7 +371,7 @@
    */
   private double cost(TaskId task, JobSpec spec) {
     return spec.checkpoints()
-        ? Constants.SAVE_COST * spec.saveS()
+        ? Constants.SAVE_COST_FACTOR * spec.saveS()
         : Math.min(spec.estimateS(), grantAgeS.applyAsDouble(task));
   }
 
--- a/src/main/java/org/baygw/control/quota/ProgressFolding.java
+++ b/src/main/java/org/baygw/control/quota/ProgressFolding.java
@@ -32,7 +32,7 @@
     this.view = view;
     this.membership = membership;
     this.writes = writes;
-    this.limitBytes = (int) (settings.state().valueKb() * 1024 * Constants.RECORD_ENDED);
+    this.limitBytes = (int) (settings.state().valueKb() * 1024 * Constants.RECORD_ENDED_SHARE);
   }
 
   void run() {
@@ -42,7 +42,7 @@
           view.jobs.containsKey(job)
               && chunks != null
               && !writes.busy(job)
-              && writes.count() <= Constants.FOLDS;
+              && writes.count() <= Constants.FOLD_MAX_WRITES;
       if (due) {
         Txn txn = fold(job, chunks);
         if (txn.writes() > 0) {
--- a/src/main/java/org/baygw/control/quota/QueuedJob.java
+++ b/src/main/java/org/baygw/control/quota/QueuedJob.java
@@ -53,7 +53,7 @@
    * guarantee, later in any case, or large jobs would starve while small ones keep arriving.
    */
   boolean overdue() {
-    return idleMs > (guaranteed ? Constants.FIRST_MS : Constants.STARVED_MS);
+    return idleMs > (guaranteed ? Constants.GUARANTEED_OVERDUE_MS : Constants.STARVED_MS);
   }
 
   /** What the job is entitled to. */
--- a/src/main/java/org/baygw/control/quota/Scheduler.java
+++ b/src/main/java/org/baygw/control/quota/Scheduler.java
@@ -117,11 +117,11 @@
       return;
     }
     // A pass examines all machines; the added delay keeps its share of a processor bounded.
-    long large = (long) (view.machines.size() * Constants.SCHEDULER_PASS_MS_A_MACHINE);
+    long large = (long) (view.machines.size() * Constants.SCHEDULER_PASS_MS_PER_MACHINE);
     nextPass =
         now
             + large
-            + (store.scarce() ? Constants.SCHEDULER_SCARCE_MS : Constants.SCHEDULER_PASS_MS);
+            + (store.scarce() ? Constants.SCHEDULER_SCARCE_PASS_MS : Constants.SCHEDULER_PASS_MS);
     seenChanges = view.changes();
     new Pass().run();
   }
@@ -288,7 +288,7 @@
 
     private void forgetOld() {
       if (clock.now() >= nextClean) {
-        nextClean = clock.now() + Constants.SCHEDULER_CLEAN_MS;
+        nextClean = clock.now() + Constants.SCHEDULER_CLEANUP_MS;
         forgetGrants();
       }
       Set<String> waiting = new HashSet<>();
