--- a/src/main/java/org/baygw/control/quota/FreeCapacity.java
+++ b/src/main/java/org/baygw/control/quota/FreeCapacity.java
@@ -24,12 +24,12 @@
  */
 final class FreeCapacity {
   /** A machine that has capacity for a task, and its partition. */
-  record Place(Partition part, MachineCapacity room) {}
+  record Candidate(Partition partition, MachineCapacity capacity) {}
 
   private final Settings settings;
   private final StateCache view;
   private final ZoneRules zones;
-  private final Map<Partition, List<MachineCapacity>> rooms = new TreeMap<>();
+  private final Map<Partition, List<MachineCapacity>> machinesByPartition = new TreeMap<>();
 
   FreeCapacity(
       Settings settings,
@@ -41,41 +41,42 @@
     this.settings = settings;
     this.view = view;
     this.zones = zones;
-    for (Partition part : membership.partitions()) {
-      if (membership.owner(part) != null) {
-        List<MachineCapacity> list = machines(part, cache);
-        takeUnplaced(part, list, writes);
-        if (!list.isEmpty()) {
-          rooms.put(part, list);
+    for (Partition partition : membership.partitions()) {
+      if (membership.owner(partition) != null) {
+        List<MachineCapacity> capacities = usableMachines(partition, cache);
+        reserveUnplaced(partition, capacities, writes);
+        if (!capacities.isEmpty()) {
+          machinesByPartition.put(partition, capacities);
         }
       }
     }
   }
 
-  private List<MachineCapacity> machines(Partition part, CapacityCache cache) {
-    int pages = view.pages().count(part);
-    Set<Integer> fullPages = fullPages(part, pages);
-    List<MachineCapacity> list = new ArrayList<>();
-    for (String name : view.machinesOf(part)) {
+  private List<MachineCapacity> usableMachines(Partition partition, CapacityCache cache) {
+    int pageCount = view.pages().count(partition);
+    Set<Integer> fullPages = fullPages(partition, pageCount);
+    List<MachineCapacity> capacities = new ArrayList<>();
+    for (String name : view.machinesOf(partition)) {
       Machine machine = view.machines.get(name).value();
       boolean usable =
           machine.condition() == Machine.Condition.OK
               && !view.drains.containsKey(name)
-              && (fullPages.isEmpty() || !fullPages.contains(PartitionRecord.pageOf(name, pages)));
-      MachineCapacity room = usable ? cache.of(machine) : null;
-      if (room != null) {
-        list.add(room);
+              && (fullPages.isEmpty()
+                  || !fullPages.contains(PartitionRecord.pageOf(name, pageCount)));
+      MachineCapacity capacity = usable ? cache.of(machine) : null;
+      if (capacity != null) {
+        capacities.add(capacity);
       }
     }
-    return list;
+    return capacities;
   }
 
   /** The pages of a partition's record that have no space for more tasks. */
-  private Set<Integer> fullPages(Partition part, int pages) {
+  private Set<Integer> fullPages(Partition partition, int pageCount) {
     int limitBytes = (int) (settings.state().valueKb() * 1024 * Constants.RECORD_FULL);
     Set<Integer> full = new HashSet<>();
-    for (int i = 0; i < pages; i++) {
-      if (view.pages().bytes(part, i) > limitBytes) {
+    for (int i = 0; i < pageCount; i++) {
+      if (view.pages().bytes(partition, i) > limitBytes) {
         full.add(i);
       }
     }
@@ -86,19 +87,20 @@
    * Reserves capacity for granted tasks that are on no machine yet. Tasks are counted by job, since
    * otherwise the machines would be searched once for each task.
    */
-  private void takeUnplaced(Partition part, List<MachineCapacity> list, JobWrites writes) {
+  private void reserveUnplaced(
+      Partition partition, List<MachineCapacity> capacities, JobWrites writes) {
     Map<String, Integer> unplaced = new TreeMap<>();
-    view.unplaced(part).forEach(task -> unplaced.merge(task.job(), 1, Integer::sum));
-    writes.addGrantsTo(part, unplaced);
+    view.unplaced(partition).forEach(task -> unplaced.merge(task.job(), 1, Integer::sum));
+    writes.addGrantsTo(partition, unplaced);
     unplaced.forEach(
-        (id, count) -> {
-          StateCache.Entry<Job> job = view.jobs.get(id);
-          int left = job == null ? 0 : count;
-          for (MachineCapacity room : list) {
-            if (left == 0) {
+        (jobId, count) -> {
+          StateCache.Entry<Job> job = view.jobs.get(jobId);
+          int remaining = job == null ? 0 : count;
+          for (MachineCapacity capacity : capacities) {
+            if (remaining == 0) {
               break;
             }
-            left = room.fill(job.value().spec(), left);
+            remaining = capacity.fill(job.value().spec(), remaining);
           }
         });
   }
@@ -107,31 +109,31 @@
    * The partition whose machine for the task ranks highest, and among equals the one with the most
    * free CPUs; null if no machine fits. Avoided partitions come last.
    */
-  Place roomiest(JobSpec spec, int[] zoneLive, Set<Partition> avoided) {
-    String only = zones.only(spec, zoneLive);
-    Place best = null;
-    double mostFree = -1;
+  Candidate findCandidate(JobSpec spec, int[] liveByZone, Set<Partition> avoided) {
+    String requiredZone = zones.requiredZone(spec, liveByZone);
+    Candidate best = null;
+    double mostFreeCpus = -1;
     int bestRank = -1;
-    for (Map.Entry<Partition, List<MachineCapacity>> entry : rooms.entrySet()) {
-      Partition part = entry.getKey();
-      int zone = zones.index(part.zone());
-      if (zone < 0
-          || only != null && !only.equals(part.zone())
-          || !zones.hasShareLeft(spec, zone, zoneLive)) {
+    for (Map.Entry<Partition, List<MachineCapacity>> entry : machinesByPartition.entrySet()) {
+      Partition partition = entry.getKey();
+      int zoneIndex = zones.indexOf(partition.zone());
+      if (zoneIndex < 0
+          || requiredZone != null && !requiredZone.equals(partition.zone())
+          || !zones.isBelowZoneLimit(spec, zoneIndex, liveByZone)) {
         continue;
       }
-      double free = 0;
-      MachineCapacity fit = null;
-      for (MachineCapacity room : entry.getValue()) {
-        if (room.fits(spec)) {
-          free += room.tasks() > 0 ? room.freeCpus() : 0;
-          fit = fit == null || room.isBetterThan(fit, spec) ? room : fit;
+      double freeCpus = 0;
+      MachineCapacity bestFit = null;
+      for (MachineCapacity capacity : entry.getValue()) {
+        if (capacity.fits(spec)) {
+          freeCpus += capacity.tasks() > 0 ? capacity.freeCpus() : 0;
+          bestFit = bestFit == null || capacity.isBetterThan(bestFit, spec) ? capacity : bestFit;
         }
       }
-      int rank = fit == null ? -1 : avoided.contains(part) ? 0 : fit.rank(spec) + 1;
-      if (fit != null && (rank > bestRank || rank == bestRank && free > mostFree)) {
-        best = new Place(part, fit);
-        mostFree = free;
+      int rank = bestFit == null ? -1 : avoided.contains(partition) ? 0 : bestFit.rank(spec) + 1;
+      if (bestFit != null && (rank > bestRank || rank == bestRank && freeCpus > mostFreeCpus)) {
+        best = new Candidate(partition, bestFit);
+        mostFreeCpus = freeCpus;
         bestRank = rank;
       }
     }
--- a/src/main/java/org/baygw/control/quota/JobWrites.java
+++ b/src/main/java/org/baygw/control/quota/JobWrites.java
@@ -15,70 +15,70 @@
  */
 final class JobWrites {
   private final Store store;
-  private final Runnable settled;
+  private final Runnable onSettled;
 
   /** Number of tasks that a job's write grants, 0 for writes that grant none. */
-  private final Map<String, Integer> grants = new HashMap<>();
+  private final Map<String, Integer> grantedTasks = new HashMap<>();
 
   /** Number of tasks that a job's write grants to each partition. */
-  private final Map<String, Map<Partition, Integer>> partitions = new HashMap<>();
+  private final Map<String, Map<Partition, Integer>> grantsByPartition = new HashMap<>();
 
   /**
    * @param settled called whenever the outcome of a write is certain
    */
-  JobWrites(Store store, Runnable settled) {
+  JobWrites(Store store, Runnable onSettled) {
     this.store = store;
-    this.settled = settled;
+    this.onSettled = onSettled;
   }
 
-  boolean busy(String job) {
-    return grants.containsKey(job);
+  boolean hasWriteInFlight(String job) {
+    return grantedTasks.containsKey(job);
   }
 
   /** Number of tasks that the job's write in flight grants; 0 if there is none. */
-  int granting(String job) {
-    return grants.getOrDefault(job, 0);
+  int grantsInFlight(String job) {
+    return grantedTasks.getOrDefault(job, 0);
   }
 
-  int count() {
-    return grants.size();
+  int writesInFlight() {
+    return grantedTasks.size();
   }
 
   /** Adds the tasks that writes in flight grant to a partition to the counts by job. */
   void addGrantsTo(Partition partition, Map<String, Integer> tasksByJob) {
-    partitions.forEach(
+    grantsByPartition.forEach(
         (job, counts) -> tasksByJob.merge(job, counts.getOrDefault(partition, 0), Integer::sum));
   }
 
   /** Sends a write that grants tasks. */
   void grant(String job, Map<Partition, Integer> tasks, Txn txn) {
-    partitions.put(job, tasks);
+    grantsByPartition.put(job, tasks);
     int count = tasks.values().stream().mapToInt(n -> n).sum();
     write(job, count, Store.Urgency.GRANT, txn, ok -> {});
   }
 
   /** Sends a write that grants no tasks. */
   void write(String job, Store.Urgency urgency, Txn txn) {
-    write(job, 0, urgency, txn, ok -> {});
+    write(job, 0, urgency, txn, succeeded -> {});
   }
 
   /** Sends a write that grants no tasks; the callback gets whether the write succeeded. */
-  void write(String job, Store.Urgency urgency, Txn txn, Consumer<Boolean> then) {
-    write(job, 0, urgency, txn, then);
+  void write(String job, Store.Urgency urgency, Txn txn, Consumer<Boolean> onComplete) {
+    write(job, 0, urgency, txn, onComplete);
   }
 
   private void write(
-      String job, int count, Store.Urgency urgency, Txn txn, Consumer<Boolean> then) {
-    grants.put(job, count);
+      String job, int count, Store.Urgency urgency, Txn txn, Consumer<Boolean> onComplete) {
+    grantedTasks.put(job, count);
     store.settle(
         urgency,
         txn,
         Constants.STATE_TIMEOUT_MS,
-        ok -> {
-          grants.remove(job);
-          partitions.remove(job);
-          then.accept(ok);
-          settled.run();
+        succeeded -> {
+          grantedTasks.remove(job);
+          grantsByPartition.remove(job);
+          onComplete.accept(succeeded);
+          onSettled.run();
         });
   }
 }
--- a/src/main/java/org/baygw/control/quota/PartitionAvoidance.java
+++ b/src/main/java/org/baygw/control/quota/PartitionAvoidance.java
@@ -24,10 +24,10 @@
   private final Membership membership;
 
   /** Granted tasks that were on no machine at the last update. */
-  private final Map<TaskId, Partition> waiting = new HashMap<>();
+  private final Map<TaskId, Partition> unplaced = new HashMap<>();
 
   /** By job, the partitions to avoid and the time at which that ends. */
-  private final Map<String, Map<Partition, Long>> avoided = new HashMap<>();
+  private final Map<String, Map<Partition, Long>> avoidedUntil = new HashMap<>();
 
   PartitionAvoidance(Clock clock, StateCache view, Membership membership) {
     this.clock = clock;
@@ -36,33 +36,35 @@
   }
 
   /** The partitions that get tasks of the job only if no other has capacity. */
-  Set<Partition> of(String job) {
-    return avoided.getOrDefault(job, Map.of()).keySet();
+  Set<Partition> avoidedPartitions(String job) {
+    return avoidedUntil.getOrDefault(job, Map.of()).keySet();
   }
 
   /** Compares the tasks that wait for a machine with those of the previous call. */
   void update() {
     long now = clock.now();
-    for (Iterator<Map.Entry<TaskId, Partition>> it = waiting.entrySet().iterator();
+    for (Iterator<Map.Entry<TaskId, Partition>> it = unplaced.entrySet().iterator();
         it.hasNext(); ) {
       Map.Entry<TaskId, Partition> entry = it.next();
       if (!view.unplaced(entry.getValue()).contains(entry.getKey())) {
         it.remove();
-        if (cameBackUnplaced(entry.getKey())) {
-          avoided
+        if (returnedUnplaced(entry.getKey())) {
+          avoidedUntil
               .computeIfAbsent(entry.getKey().job(), k -> new HashMap<>())
               .put(entry.getValue(), now + Constants.PARTITION_AVOID_MS);
         }
       }
     }
-    for (Partition part : membership.partitions()) {
-      view.unplaced(part).forEach(task -> waiting.put(task, part));
+    for (Partition partition : membership.partitions()) {
+      view.unplaced(partition).forEach(task -> unplaced.put(task, partition));
     }
-    avoided.values().forEach(partitions -> partitions.values().removeIf(until -> now >= until));
-    avoided.values().removeIf(Map::isEmpty);
+    avoidedUntil
+        .values()
+        .forEach(partitions -> partitions.values().removeIf(until -> now >= until));
+    avoidedUntil.values().removeIf(Map::isEmpty);
   }
 
-  private boolean cameBackUnplaced(TaskId task) {
+  private boolean returnedUnplaced(TaskId task) {
     StateCache.Entry<Job> job = view.jobs.get(task.job());
     Progress progress = view.progress(task.job(), task.index() / Constants.CHUNK_TASKS);
     return job != null
--- a/src/main/java/org/baygw/control/quota/Preemption.java
+++ b/src/main/java/org/baygw/control/quota/Preemption.java
@@ -46,16 +46,16 @@
    * The tasks to stop on a machine for one task, and the total cost in seconds, with that of a
    * missing image.
    */
-  private record Stops(List<Victim> victims, double cost) {}
+  private record PreemptionOption(List<Victim> victims, double cost) {}
 
   private final Settings settings;
   private final StateCache view;
   private final Membership membership;
-  private final CapacityCache rooms;
+  private final CapacityCache capacityCache;
   private final JobWrites writes;
 
   /** Names of the teams without a guarantee. */
-  private final List<String> guests;
+  private final List<String> teamsWithoutGuarantee;
 
   /**
    * Seconds since a task was granted; infinite if a former leader granted it at an unknown time.
@@ -72,22 +72,22 @@
    * Index of the machine at which the next search starts, so that all machines are searched in
    * turn.
    */
-  private int firstLook;
+  private int firstMachine;
 
   Preemption(
       Settings settings,
       StateCache view,
       Membership membership,
-      CapacityCache rooms,
+      CapacityCache capacityCache,
       JobWrites writes,
       ToDoubleFunction<TaskId> grantAgeS) {
     this.settings = settings;
     this.view = view;
     this.membership = membership;
-    this.rooms = rooms;
+    this.capacityCache = capacityCache;
     this.writes = writes;
     this.grantAgeS = grantAgeS;
-    this.guests =
+    this.teamsWithoutGuarantee =
         settings.teams().stream()
             .filter(team -> !team.hasGuarantee())
             .map(Settings.Team::name)
@@ -104,42 +104,45 @@
     stopping.removeIf(task -> view.grant(task) == null);
     Pass pass = new Pass(usage, guaranteed);
     ListIterator<UnmetDemand> it = unmet.listIterator();
-    while (it.hasNext() && pass.stopped < Constants.PREEMPT_MAX_TASKS) {
+    while (it.hasNext() && pass.stoppedTasks < Constants.PREEMPT_MAX_TASKS) {
       UnmetDemand demand = it.next();
-      if (mayStopOthers(demand, usage)) {
-        int left = pass.makeRoom(demand);
-        if (left == 0) {
+      if (mayPreempt(demand, usage)) {
+        int remaining = pass.freeCapacityFor(demand);
+        if (remaining == 0) {
           it.remove();
         } else {
-          it.set(demand.withCount(left));
+          it.set(demand.withCount(remaining));
         }
       }
     }
-    if (pass.stopped > 0) {
-      LOG.info("stopping {} tasks of {} jobs to free capacity", pass.stopped, pass.byJob.size());
+    if (pass.stoppedTasks > 0) {
+      LOG.info(
+          "stopping {} tasks of {} jobs to free capacity",
+          pass.stoppedTasks,
+          pass.victimsByJob.size());
     }
-    pass.byJob.forEach(this::stop);
+    pass.victimsByJob.forEach(this::stop);
   }
 
-  private boolean mayStopOthers(UnmetDemand demand, TeamUsage usage) {
+  private boolean mayPreempt(UnmetDemand demand, TeamUsage usage) {
     return demand.spec().priority() == JobSpec.Priority.PRODUCTION
         || demand.entitlement().mayReclaim()
         || !demand.entitlement().teamWithoutGuarantee()
-            && guests.stream().anyMatch(team -> usage.cpus(team) > 0);
+            && teamsWithoutGuarantee.stream().anyMatch(team -> usage.cpus(team) > 0);
   }
 
   /** One pass: the tasks chosen to be stopped, and the capacity that this frees. */
   private final class Pass {
     private final TeamUsage usage;
     private final Set<String> guaranteed;
-    private final Map<MachineCapacity, List<Victim>> victims = new HashMap<>();
-    private final Map<String, List<Victim>> byJob = new LinkedHashMap<>();
+    private final Map<MachineCapacity, List<Victim>> candidatesByMachine = new HashMap<>();
+    private final Map<String, List<Victim>> victimsByJob = new LinkedHashMap<>();
 
     /** Number of live tasks of the jobs considered so far, without the chosen victims. */
-    private final Map<String, Integer> live = new HashMap<>();
+    private final Map<String, Integer> liveByJob = new HashMap<>();
 
     private List<MachineCapacity> machines;
-    private int stopped;
+    private int stoppedTasks;
 
     Pass(TeamUsage usage, Set<String> guaranteed) {
       this.usage = usage;
@@ -149,16 +152,18 @@
     /**
      * Chooses tasks to stop for the demand; returns how many of its tasks remain without capacity.
      */
-    int makeRoom(UnmetDemand demand) {
+    int freeCapacityFor(UnmetDemand demand) {
       if (machines == null) {
-        machines = machines();
+        machines = usableMachines();
       }
-      int left = demand.count();
-      Map<MachineCapacity, Stops> options = options(demand);
-      while (left > 0 && stopped < Constants.PREEMPT_MAX_TASKS && stopCheapest(demand, options)) {
-        left--;
+      int remaining = demand.count();
+      Map<MachineCapacity, PreemptionOption> options = options(demand);
+      while (remaining > 0
+          && stoppedTasks < Constants.PREEMPT_MAX_TASKS
+          && selectCheapest(demand, options)) {
+        remaining--;
       }
-      return left;
+      return remaining;
     }
 
     /**
@@ -166,83 +171,87 @@
      * that have the image come first, others only while fewer than the limit were examined. The
      * cheapest of a sample is nearly as good as the cheapest of all.
      */
-    private Map<MachineCapacity, Stops> options(UnmetDemand demand) {
-      Map<MachineCapacity, Stops> found = new LinkedHashMap<>();
-      int looked = 0;
-      for (boolean image : new boolean[] {true, false}) {
-        for (int i = 0; i < machines.size() && looked < Constants.PREEMPT_MAX_MACHINES; i++) {
-          MachineCapacity room = machines.get((firstLook + i) % machines.size());
-          if (room.machine().images().contains(demand.spec().image()) == image
-              && (demand.zone() == null || demand.zone().equals(room.machine().zone()))
-              && room.meetsConstraints(demand.spec())) {
-            looked++;
-            put(found, room, needed(demand, room));
+    private Map<MachineCapacity, PreemptionOption> options(UnmetDemand demand) {
+      Map<MachineCapacity, PreemptionOption> found = new LinkedHashMap<>();
+      int examined = 0;
+      for (boolean hasImage : new boolean[] {true, false}) {
+        for (int i = 0; i < machines.size() && examined < Constants.PREEMPT_MAX_MACHINES; i++) {
+          MachineCapacity capacity = machines.get((firstMachine + i) % machines.size());
+          if (capacity.machine().images().contains(demand.spec().image()) == hasImage
+              && (demand.zone() == null || demand.zone().equals(capacity.machine().zone()))
+              && capacity.meetsConstraints(demand.spec())) {
+            examined++;
+            putOrRemove(found, capacity, optionFor(demand, capacity));
           }
         }
       }
       if (machines.size() > Constants.PREEMPT_MAX_MACHINES) {
-        firstLook = (firstLook + looked) % machines.size();
+        firstMachine = (firstMachine + examined) % machines.size();
       }
       return found;
     }
 
     /** Chooses the tasks to stop for one task; false if no machine can run it that way. */
-    private boolean stopCheapest(UnmetDemand demand, Map<MachineCapacity, Stops> options) {
-      for (MachineCapacity room = cheapest(options); room != null; room = cheapest(options)) {
+    private boolean selectCheapest(
+        UnmetDemand demand, Map<MachineCapacity, PreemptionOption> options) {
+      for (MachineCapacity capacity = cheapest(options);
+          capacity != null;
+          capacity = cheapest(options)) {
         // Victims chosen since reduce what their teams borrow, which may rule out this option.
-        Stops now = needed(demand, room);
-        if (now != null && now.victims().equals(options.get(room).victims())) {
-          choose(demand, room, now);
-          put(options, room, needed(demand, room));
+        PreemptionOption current = optionFor(demand, capacity);
+        if (current != null && current.victims().equals(options.get(capacity).victims())) {
+          select(demand, capacity, current);
+          putOrRemove(options, capacity, optionFor(demand, capacity));
           return true;
         }
-        put(options, room, now);
+        putOrRemove(options, capacity, current);
       }
       return false;
     }
 
-    private void choose(UnmetDemand demand, MachineCapacity room, Stops stops) {
-      for (Victim victim : stops.victims()) {
-        room.release(victim.spec());
-        victims.get(room).remove(victim);
+    private void select(UnmetDemand demand, MachineCapacity capacity, PreemptionOption option) {
+      for (Victim victim : option.victims()) {
+        capacity.release(victim.spec());
+        candidatesByMachine.get(capacity).remove(victim);
         usage.add(victim.spec(), -1);
-        byJob.computeIfAbsent(victim.task().job(), k -> new ArrayList<>()).add(victim);
-        live.merge(victim.task().job(), -1, Integer::sum);
+        victimsByJob.computeIfAbsent(victim.task().job(), k -> new ArrayList<>()).add(victim);
+        liveByJob.merge(victim.task().job(), -1, Integer::sum);
       }
-      room.reserve(demand.spec());
-      stopped += stops.victims().size();
+      capacity.reserve(demand.spec());
+      stoppedTasks += option.victims().size();
     }
 
     /** The tasks to stop so that the task fits on the machine; null if it cannot fit. */
-    private Stops needed(UnmetDemand demand, MachineCapacity room) {
+    private PreemptionOption optionFor(UnmetDemand demand, MachineCapacity capacity) {
       JobSpec spec = demand.spec();
-      if (!room.meetsConstraints(spec)) {
+      if (!capacity.meetsConstraints(spec)) {
         return null; // a replica of the service has been planned there meanwhile
       }
-      List<Victim> candidates = victims.computeIfAbsent(room, Preemption.this::victims);
+      List<Victim> candidates =
+          candidatesByMachine.computeIfAbsent(capacity, Preemption.this::candidates);
       double cpus = 0;
       double gpus = 0;
       double memoryGb = 0;
       double cost =
-          room.machine().images().contains(spec.image()) ? 0 : Constants.COLD_START_COST_S;
+          capacity.machine().images().contains(spec.image()) ? 0 : Constants.COLD_START_COST_S;
       List<Victim> chosen = new ArrayList<>();
-      boolean fits = room.hasResourcesFor(spec, cpus, gpus, memoryGb);
+      boolean fits = capacity.hasResourcesFor(spec, cpus, gpus, memoryGb);
       for (Victim victim : candidates) {
         if (fits) {
           break;
         }
-        JobSpec other = victim.spec();
+        JobSpec victimSpec = victim.spec();
         if (!mayStop(demand, victim, chosen)) {
           continue;
         }
         chosen.add(victim);
-        cpus += other.cpus();
-        gpus += other.gpus();
-        memoryGb += other.memoryGb();
+        cpus += victimSpec.cpus();
+        gpus += victimSpec.gpus();
+        memoryGb += victimSpec.memoryGb();
         cost += victim.cost();
-        fits = room.hasResourcesFor(spec, cpus, gpus, memoryGb);
+        fits = capacity.hasResourcesFor(spec, cpus, gpus, memoryGb);
       }
-      return fits ? new Stops(chosen, cost) : null;
+      return fits ? new PreemptionOption(chosen, cost) : null;
     }
 
     /**
@@ -252,8 +261,8 @@
      */
     private boolean mayStop(UnmetDemand demand, Victim victim, List<Victim> chosen) {
       return demand.spec().priority() == JobSpec.Priority.PRODUCTION
-          || isGuestThatYields(demand, victim, chosen)
-          || demand.entitlement().mayReclaim() && isBorrowed(demand, victim, chosen);
+          || isPreemptibleWithoutGuarantee(demand, victim, chosen)
+          || demand.entitlement().mayReclaim() && exceedsGuarantee(demand, victim, chosen);
     }
 
     /**
@@ -261,38 +270,39 @@
      * or takes capacity that the demand is guaranteed. Each job of such a team keeps a task, and no
      * task is stopped in its first half minute, or a started job would count as not started.
      */
-    private boolean isGuestThatYields(UnmetDemand demand, Victim victim, List<Victim> chosen) {
-      JobSpec other = victim.spec();
-      boolean weaker =
+    private boolean isPreemptibleWithoutGuarantee(
+        UnmetDemand demand, Victim victim, List<Victim> chosen) {
+      JobSpec victimSpec = victim.spec();
+      boolean outranked =
           demand.entitlement().guaranteed()
-              || demand.spec().priority().compareTo(other.priority()) < 0;
-      return weaker
-          && guests.contains(other.team())
+              || demand.spec().priority().compareTo(victimSpec.priority()) < 0;
+      return outranked
+          && teamsWithoutGuarantee.contains(victimSpec.team())
           && !demand.entitlement().teamWithoutGuarantee()
-          && other.checkpoints()
+          && victimSpec.checkpoints()
           && grantAgeS.applyAsDouble(victim.task()) > Constants.MIN_START_RUN_S
-          && live(other.id()) - count(chosen, v -> v.spec() == other) > 1;
+          && remainingLiveTasks(victimSpec.id()) - count(chosen, v -> v.spec() == victimSpec) > 1;
     }
 
-    private int live(String job) {
-      return live.computeIfAbsent(job, Preemption.this::liveTasks);
+    private int remainingLiveTasks(String job) {
+      return liveByJob.computeIfAbsent(job, Preemption.this::liveTasks);
     }
 
     /**
      * Whether the task exceeds its team's guarantee, so that it may be stopped for a job of another
      * team that reclaims its own guarantee. No more is taken than what exceeds the guarantee.
      */
-    private boolean isBorrowed(UnmetDemand demand, Victim victim, List<Victim> chosen) {
-      JobSpec other = victim.spec();
-      String team = other.team();
-      double taken = 0;
-      for (Victim before : chosen) {
-        taken += before.spec().team().equals(team) ? before.spec().cpus() : 0;
+    private boolean exceedsGuarantee(UnmetDemand demand, Victim victim, List<Victim> chosen) {
+      JobSpec victimSpec = victim.spec();
+      String team = victimSpec.team();
+      double chosenCpus = 0;
+      for (Victim earlier : chosen) {
+        chosenCpus += earlier.spec().team().equals(team) ? earlier.spec().cpus() : 0;
       }
-      double borrowed = usage.cpus(team) - taken - settings.team(team).cpus();
-      return !guaranteed.contains(other.id())
+      double borrowedCpus = usage.cpus(team) - chosenCpus - settings.team(team).cpus();
+      return !guaranteed.contains(victimSpec.id())
           && !team.equals(demand.spec().team())
-          && borrowed >= other.cpus() - Constants.EPS;
+          && borrowedCpus >= victimSpec.cpus() - Constants.EPS;
     }
   }
 
@@ -307,9 +317,9 @@
         : chunks.values().stream().mapToInt(chunk -> chunk.value().live.size()).sum();
   }
 
-  private static MachineCapacity cheapest(Map<MachineCapacity, Stops> options) {
+  private static MachineCapacity cheapest(Map<MachineCapacity, PreemptionOption> options) {
     MachineCapacity best = null;
-    for (Map.Entry<MachineCapacity, Stops> entry : options.entrySet()) {
+    for (Map.Entry<MachineCapacity, PreemptionOption> entry : options.entrySet()) {
       if (best == null || entry.getValue().cost() < options.get(best).cost()) {
         best = entry.getKey();
       }
@@ -317,16 +327,19 @@
     return best;
   }
 
-  private static void put(Map<MachineCapacity, Stops> options, MachineCapacity room, Stops stops) {
-    if (stops == null) {
-      options.remove(room);
+  private static void putOrRemove(
+      Map<MachineCapacity, PreemptionOption> options,
+      MachineCapacity capacity,
+      PreemptionOption option) {
+    if (option == null) {
+      options.remove(capacity);
     } else {
-      options.put(room, stops);
+      options.put(capacity, option);
     }
   }
 
   /** The machines on which tasks could be stopped. */
-  private List<MachineCapacity> machines() {
+  private List<MachineCapacity> usableMachines() {
     List<MachineCapacity> found = new ArrayList<>();
     for (StateCache.Entry<Machine> entry : view.machines.values()) {
       Machine machine = entry.value();
@@ -334,9 +347,9 @@
           machine.condition() == Machine.Condition.OK
               && !view.drains.containsKey(machine.name())
               && membership.owner(machine.part()) != null;
-      MachineCapacity room = usable ? rooms.of(machine) : null;
-      if (room != null) {
-        found.add(room);
+      MachineCapacity capacity = usable ? capacityCache.of(machine) : null;
+      if (capacity != null) {
+        found.add(capacity);
       }
     }
     return found;
@@ -346,9 +359,9 @@
    * The tasks that could be stopped on a machine, cheapest first. Releases the capacity of tasks
    * that are being stopped already.
    */
-  private List<Victim> victims(MachineCapacity room) {
+  private List<Victim> candidates(MachineCapacity capacity) {
     List<Victim> found = new ArrayList<>();
-    for (TaskId task : room.machine().tasks().keySet()) {
+    for (TaskId task : capacity.machine().tasks().keySet()) {
       StateCache.Entry<Job> job = view.jobs.get(task.job());
       Progress.Live live = view.grant(task);
       if (job == null || live == null) {
@@ -356,8 +369,9 @@
       }
       JobSpec spec = job.value().spec();
       if (live.stop() || stopping.contains(task) || !job.value().open()) {
-        room.release(spec);
-      } else if (!writes.busy(task.job()) && spec.priority() != JobSpec.Priority.PRODUCTION) {
+        capacity.release(spec);
+      } else if (!writes.hasWriteInFlight(task.job())
+          && spec.priority() != JobSpec.Priority.PRODUCTION) {
         found.add(new Victim(task, spec, cost(task, spec)));
       }
     }
@@ -377,17 +391,17 @@
 
   private void stop(String job, List<Victim> victims) {
     Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leadership());
-    Map<Integer, Progress> next = new LinkedHashMap<>();
+    Map<Integer, Progress> updatedChunks = new LinkedHashMap<>();
     for (Victim victim : victims) {
       int index = victim.task().index();
       int chunk = index / Constants.CHUNK_TASKS;
-      if (next.containsKey(chunk) || next.size() < settings.state().txnOps()) {
-        Progress progress = next.computeIfAbsent(chunk, c -> view.progress(job, c).copy());
+      if (updatedChunks.containsKey(chunk) || updatedChunks.size() < settings.state().txnOps()) {
+        Progress progress = updatedChunks.computeIfAbsent(chunk, c -> view.progress(job, c).copy());
         Progress.Live live = progress.live.get(index);
         progress.live.put(index, new Progress.Live(live.attempt(), live.part(), true));
       }
     }
-    next.forEach(
+    updatedChunks.forEach(
         (chunk, progress) -> {
           String key = Keys.progress(job, chunk);
           txn.when(key, view.stamp(key)).put(key, Records.progress(progress));
@@ -398,8 +412,8 @@
         job,
         Store.Urgency.GRANT,
         txn,
-        ok -> {
-          if (!ok) {
+        succeeded -> {
+          if (!succeeded) {
             stopping.removeAll(tasks);
           }
         });
--- a/src/main/java/org/baygw/control/quota/ProgressFolding.java
+++ b/src/main/java/org/baygw/control/quota/ProgressFolding.java
@@ -41,8 +41,8 @@
       boolean due =
           view.jobs.containsKey(job)
               && chunks != null
-              && !writes.busy(job)
-              && writes.count() <= Constants.FOLD_MAX_WRITES;
+              && !writes.hasWriteInFlight(job)
+              && writes.writesInFlight() <= Constants.FOLD_MAX_WRITES;
       if (due) {
         Txn txn = fold(job, chunks);
         if (txn.writes() > 0) {
@@ -54,10 +54,10 @@
 
   private Set<String> jobsInLargeRecords() {
     Set<String> jobs = new LinkedHashSet<>();
-    for (Partition part : membership.partitions()) {
-      for (int i = 0; i < view.pages().count(part); i++) {
-        if (view.pages().endedBytes(part, i) > limitBytes) {
-          PartitionRecord page = view.pages().get(part, i);
+    for (Partition partition : membership.partitions()) {
+      for (int i = 0; i < view.pages().count(partition); i++) {
+        if (view.pages().endedBytes(partition, i) > limitBytes) {
+          PartitionRecord page = view.pages().get(partition, i);
           jobs.addAll(page.done().keySet());
           jobs.addAll(page.back().keySet());
         }
@@ -81,7 +81,7 @@
     return txn;
   }
 
-  private static boolean differs(Progress written, Progress now) {
-    return written.live.size() != now.live.size() || !written.done.equals(now.done);
+  private static boolean differs(Progress written, Progress current) {
+    return written.live.size() != current.live.size() || !written.done.equals(current.done);
   }
 }
--- a/src/main/java/org/baygw/control/quota/QueuedJob.java
+++ b/src/main/java/org/baygw/control/quota/QueuedJob.java
@@ -20,13 +20,13 @@
     JobSpec spec,
     long acceptedMs,
     long stamp,
-    boolean guest,
+    boolean teamWithoutGuarantee,
     boolean guaranteed,
-    long idleMs,
-    int missedAims,
-    double workS,
+    long unstartedMs,
+    int missedObjectives,
+    double remainingCpuS,
     int pending,
-    int[] zoneLive) {
+    int[] liveByZone) {
 
   /** The order in which jobs are scheduled. */
   static final Comparator<QueuedJob> ORDER =
@@ -39,12 +39,15 @@
           // Low-priority jobs of teams without guarantee must not displace other jobs, not even
           // those that will miss their objectives.
           .thenComparing(
-              job -> job.guest() && job.spec().priority() == JobSpec.Priority.LOW ? 1 : 0)
+              job ->
+                  job.teamWithoutGuarantee() && job.spec().priority() == JobSpec.Priority.LOW
+                      ? 1
+                      : 0)
           // More jobs finish in time if those that can no longer do so, and long jobs, come later.
-          .thenComparing(QueuedJob::missedAims)
+          .thenComparing(QueuedJob::missedObjectives)
           .thenComparing(job -> job.spec().priority())
-          .thenComparing(job -> job.guest() ? 1 : 0)
-          .thenComparing(QueuedJob::workS)
+          .thenComparing(job -> job.teamWithoutGuarantee() ? 1 : 0)
+          .thenComparing(QueuedJob::remainingCpuS)
           .thenComparing(QueuedJob::acceptedMs)
           .thenComparing(QueuedJob::id);
 
@@ -53,12 +56,13 @@
    * guarantee, later in any case, or large jobs would starve while small ones keep arriving.
    */
   boolean overdue() {
-    return idleMs > (guaranteed ? Constants.GUARANTEED_OVERDUE_MS : Constants.STARVED_MS);
+    return unstartedMs > (guaranteed ? Constants.GUARANTEED_OVERDUE_MS : Constants.STARVED_MS);
   }
 
   /** What the job is entitled to. */
-  UnmetDemand.Entitlement standing() {
-    boolean reclaims = guaranteed && idleMs > Constants.RECLAIM_MS;
-    return new UnmetDemand.Entitlement(guaranteed, reclaims, guest, idleMs == 0);
+  UnmetDemand.Entitlement entitlement() {
+    boolean reclaims = guaranteed && unstartedMs > Constants.RECLAIM_MS;
+    return new UnmetDemand.Entitlement(
+        guaranteed, reclaims, teamWithoutGuarantee, unstartedMs == 0);
   }
 }
--- a/src/main/java/org/baygw/control/quota/Scheduler.java
+++ b/src/main/java/org/baygw/control/quota/Scheduler.java
@@ -43,7 +43,7 @@
   private final Membership membership;
   private final Replication replication;
   private final ZoneRules zones;
-  private final CapacityCache rooms;
+  private final CapacityCache capacityCache;
   private final JobWrites writes;
   private final PartitionAvoidance avoidance;
   private final ProgressFolding folding;
@@ -57,8 +57,8 @@
 
   private List<UnmetDemand> unmet = List.of();
   private long nextPass;
-  private long nextClean;
-  private long seenChanges = -1;
+  private long nextCleanup;
+  private long changesAtLastPass = -1;
 
   /** Stamp of the leader's claim under which this scheduler last worked. */
   private long epoch;
@@ -77,11 +77,12 @@
     this.view = view;
     this.membership = membership;
     this.zones = new ZoneRules(settings.zones());
-    this.rooms = new CapacityCache(view);
-    this.writes = new JobWrites(store, this::passSoon);
+    this.capacityCache = new CapacityCache(view);
+    this.writes = new JobWrites(store, this::requestPass);
     this.avoidance = new PartitionAvoidance(clock, view, membership);
     this.folding = new ProgressFolding(settings, view, membership, writes);
-    this.preemption = new Preemption(settings, view, membership, rooms, writes, this::grantAgeS);
+    this.preemption =
+        new Preemption(settings, view, membership, capacityCache, writes, this::grantAgeS);
   }
 
   /** Tasks for which the latest pass found no capacity. */
@@ -95,7 +96,7 @@
    * capacity.
    */
   public boolean unmetIsCurrent() {
-    return seenChanges == view.changes();
+    return changesAtLastPass == view.changes();
   }
 
   public int unmetTasks() {
@@ -111,35 +112,35 @@
     }
     if (epoch != membership.leadership()) {
       epoch = membership.leadership();
-      inherit();
+      inheritQueue();
     }
     if (now < nextPass || unmetIsCurrent() && now < nextPass + Constants.SCHEDULER_IDLE_PASS_MS) {
       return;
     }
     // A pass examines all machines; the added delay keeps its share of a processor bounded.
-    long large = (long) (view.machines.size() * Constants.SCHEDULER_PASS_MS_PER_MACHINE);
+    long machinesDelayMs = (long) (view.machines.size() * Constants.SCHEDULER_PASS_MS_PER_MACHINE);
     nextPass =
         now
-            + large
+            + machinesDelayMs
             + (store.scarce() ? Constants.SCHEDULER_SCARCE_PASS_MS : Constants.SCHEDULER_PASS_MS);
-    seenChanges = view.changes();
+    changesAtLastPass = view.changes();
     new Pass().run();
   }
 
   /** Takes over the former leader's times of waiting jobs and of grants. */
-  private void inherit() {
-    Replication.InheritedQueue known = replication.inheritedQueue();
-    if (known == null) {
+  private void inheritQueue() {
+    Replication.InheritedQueue inherited = replication.inheritedQueue();
+    if (inherited == null) {
       return;
     }
     long now = clock.now();
-    known.waitingForMs().forEach((job, ms) -> unmetSince.putIfAbsent(job, now - ms));
-    known.grantedAgoMs().forEach((task, ms) -> grantedAt.putIfAbsent(task, now - ms));
+    inherited.waitingForMs().forEach((job, ms) -> unmetSince.putIfAbsent(job, now - ms));
+    inherited.grantedAgoMs().forEach((task, ms) -> grantedAt.putIfAbsent(task, now - ms));
   }
 
-  private void passSoon() {
+  private void requestPass() {
     nextPass = 0;
-    seenChanges = -1;
+    changesAtLastPass = -1;
   }
 
   private double grantAgeS(TaskId task) {
@@ -152,7 +153,7 @@
     private final TeamUsage usage = new TeamUsage(settings.teams());
 
     /** CPUs that each team's unfinished jobs request, up to and including the current job. */
-    private final Map<String, Double> demand = new HashMap<>();
+    private final Map<String, Double> requestedCpus = new HashMap<>();
 
     /** Unfinished jobs that fit into their team's guarantee together with its earlier jobs. */
     private final Set<String> guaranteed = new HashSet<>();
@@ -160,69 +161,70 @@
     private final List<QueuedJob> queue = new ArrayList<>();
 
     /** Shapes of tasks that found no capacity in this pass. */
-    private final Set<String> full = new HashSet<>();
+    private final Set<String> unplaceableShapes = new HashSet<>();
 
-    private final List<UnmetDemand> left = new ArrayList<>();
-    private FreeCapacity free;
+    private final List<UnmetDemand> unmetInPass = new ArrayList<>();
+    private FreeCapacity freeCapacity;
 
     void run() {
       List<StateCache.Entry<Job>> jobs = new ArrayList<>(view.active.values());
       jobs.sort(
           Comparator.comparing((StateCache.Entry<Job> job) -> job.value().acceptedMs())
               .thenComparing(job -> job.value().spec().id()));
-      jobs.forEach(this::add);
+      jobs.forEach(this::addJob);
       folding.run();
       avoidance.update();
       queue.sort(QueuedJob.ORDER);
-      free = new FreeCapacity(settings, view, membership, rooms, writes, zones);
-      queue.forEach(this::serve);
-      forgetOld();
-      preemption.run(left, usage, guaranteed);
-      unmet = left;
+      freeCapacity = new FreeCapacity(settings, view, membership, capacityCache, writes, zones);
+      queue.forEach(this::schedule);
+      removeOutdated();
+      preemption.run(unmetInPass, usage, guaranteed);
+      unmet = unmetInPass;
     }
 
     /** Adds a job to its team's usage, and queues it if it has tasks that wait for a grant. */
-    private void add(StateCache.Entry<Job> entry) {
+    private void addJob(StateCache.Entry<Job> entry) {
       Job job = entry.value();
       JobSpec spec = job.spec();
       TreeMap<Integer, StateCache.Entry<Progress>> chunks =
           view.progress.getOrDefault(spec.id(), new TreeMap<>());
       int live = 0;
       int done = 0;
-      int[] zoneLive = zones.none();
+      int[] liveByZone = zones.emptyCounts();
       for (StateCache.Entry<Progress> chunk : chunks.values()) {
         live += chunk.value().live.size();
         done += chunk.value().done.cardinality();
         if (spec.spread() || spec.oneZone()) {
-          zones.count(chunk.value(), zoneLive);
+          zones.addLive(chunk.value(), liveByZone);
         }
       }
-      usage.add(spec, live + writes.granting(spec.id()));
-      boolean busy = writes.busy(spec.id());
+      usage.add(spec, live + writes.grantsInFlight(spec.id()));
+      boolean busy = writes.hasWriteInFlight(spec.id());
       if (!job.open()) {
         if (live == 0 && !chunks.isEmpty() && !busy) {
-          clean(spec.id(), chunks);
+          deleteProgress(spec.id(), chunks);
         }
       } else if (done == spec.tasks()) {
         if (!busy) {
-          finish(spec.id(), entry);
+          markDone(spec.id(), entry);
         }
       } else if (settings.team(spec.team()) != null) {
-        noteGuarantee(spec, done);
+        updateGuaranteed(spec, done);
         if (done + live < spec.tasks() && !busy) {
-          queue.add(queued(entry, live, done, zoneLive));
+          queue.add(queuedJob(entry, live, done, liveByZone));
         }
       }
     }
 
-    private void noteGuarantee(JobSpec spec, int done) {
-      double sum = demand.merge(spec.team(), (spec.tasks() - done) * spec.cpus(), Double::sum);
-      if (sum <= settings.team(spec.team()).cpus() + Constants.EPS) {
+    private void updateGuaranteed(JobSpec spec, int done) {
+      double teamCpus =
+          requestedCpus.merge(spec.team(), (spec.tasks() - done) * spec.cpus(), Double::sum);
+      if (teamCpus <= settings.team(spec.team()).cpus() + Constants.EPS) {
         guaranteed.add(spec.id());
       }
     }
 
-    private QueuedJob queued(StateCache.Entry<Job> entry, int live, int done, int[] zoneLive) {
+    private QueuedJob queuedJob(StateCache.Entry<Job> entry, int live, int done, int[] liveByZone) {
       Job job = entry.value();
       JobSpec spec = job.spec();
       return new QueuedJob(
@@ -233,66 +235,67 @@
           !settings.team(spec.team()).hasGuarantee(),
           guaranteed.contains(spec.id()),
           live + done == 0 ? clock.wall() - job.acceptedMs() : 0,
-          missedAims(job),
+          missedObjectives(job),
           (spec.tasks() - done) * spec.cpus() * spec.estimateS(),
           spec.tasks() - done - live,
-          zoneLive);
+          liveByZone);
     }
 
     /** Grants as many of a job's tasks as its team's limit and the free capacity allow. */
-    private void serve(QueuedJob job) {
+    private void schedule(QueuedJob job) {
       JobSpec spec = job.spec();
       int allowed = usage.allowed(settings.team(spec.team()), spec, job.pending());
       if (allowed <= 0) {
         return;
       }
-      int[] zoneLive = job.zoneLive().clone();
-      String shape = shape(spec, zones.only(spec, zoneLive));
-      Grants grants = new Grants(job, zoneLive, allowed);
-      boolean noRoom = full.contains(shape) || !grants.fill(free);
-      if (noRoom && !spec.service() && !spec.spread() && !spec.oneZone()) {
-        full.add(shape);
+      int[] liveByZone = job.liveByZone().clone();
+      String shape = shape(spec, zones.requiredZone(spec, liveByZone));
+      JobGrant grants = new JobGrant(job, liveByZone, allowed);
+      boolean outOfCapacity = unplaceableShapes.contains(shape) || !grants.grantTasks(freeCapacity);
+      if (outOfCapacity && !spec.service() && !spec.spread() && !spec.oneZone()) {
+        unplaceableShapes.add(shape);
       }
-      usage.add(spec, grants.count);
-      if (noRoom && grants.count < allowed) {
-        long waitedMs = noteUnmet(job, allowed - grants.count, zoneLive);
+      usage.add(spec, grants.grantedCount);
+      if (outOfCapacity && grants.grantedCount < allowed) {
+        long waitedMs = recordUnmet(job, allowed - grants.grantedCount, liveByZone);
         if (waitedMs < Constants.LIMIT_RESERVED_MS) {
           // Machines are rented for these tasks, so the limit must still allow them later.
-          usage.add(spec, allowed - grants.count);
+          usage.add(spec, allowed - grants.grantedCount);
         }
       }
-      if (grants.count > 0) {
+      if (grants.grantedCount > 0) {
         grants.write();
       }
     }
 
     /** Records tasks without capacity; returns for how many ms the job has had such tasks. */
-    private long noteUnmet(QueuedJob job, int count, int[] zoneLive) {
+    private long recordUnmet(QueuedJob job, int count, int[] liveByZone) {
       JobSpec spec = job.spec();
       if (unmetSince.putIfAbsent(job.id(), clock.now()) == null) {
         replication.waiting(job.id());
       }
       long waitedMs = clock.now() - unmetSince.get(job.id());
       if (!spec.spread() && !spec.oneZone()) {
-        left.add(new UnmetDemand(spec, spec.zone(), count, waitedMs, job.standing()));
+        unmetInPass.add(new UnmetDemand(spec, spec.zone(), count, waitedMs, job.entitlement()));
         return waitedMs;
       }
       Map<String, Integer> byZone = new LinkedHashMap<>();
       for (int i = 0; i < count; i++) {
-        byZone.merge(zones.zoneFor(spec, zoneLive), 1, Integer::sum);
+        byZone.merge(zones.assignZone(spec, liveByZone), 1, Integer::sum);
       }
       byZone.forEach(
-          (zone, n) -> left.add(new UnmetDemand(spec, zone, n, waitedMs, job.standing())));
+          (zone, n) ->
+              unmetInPass.add(new UnmetDemand(spec, zone, n, waitedMs, job.entitlement())));
       return waitedMs;
     }
 
-    private void forgetOld() {
-      if (clock.now() >= nextClean) {
-        nextClean = clock.now() + Constants.SCHEDULER_CLEANUP_MS;
-        forgetGrants();
+    private void removeOutdated() {
+      if (clock.now() >= nextCleanup) {
+        nextCleanup = clock.now() + Constants.SCHEDULER_CLEANUP_MS;
+        removeEndedGrants();
       }
       Set<String> waiting = new HashSet<>();
-      left.forEach(demand -> waiting.add(demand.spec().id()));
+      unmetInPass.forEach(demand -> waiting.add(demand.spec().id()));
       for (Iterator<String> it = unmetSince.keySet().iterator(); it.hasNext(); ) {
         String job = it.next();
         if (!waiting.contains(job)) {
@@ -302,14 +305,14 @@
       }
     }
 
-    private void forgetGrants() {
-      Map<String, List<Integer>> over = new HashMap<>();
+    private void removeEndedGrants() {
+      Map<String, List<Integer>> ended = new HashMap<>();
       for (TaskId task : grantedAt.keySet()) {
-        if (view.grant(task) == null && !writes.busy(task.job())) {
-          over.computeIfAbsent(task.job(), k -> new ArrayList<>()).add(task.index());
+        if (view.grant(task) == null && !writes.hasWriteInFlight(task.job())) {
+          ended.computeIfAbsent(task.job(), k -> new ArrayList<>()).add(task.index());
         }
       }
-      over.forEach(
+      ended.forEach(
           (job, tasks) -> {
             tasks.forEach(index -> grantedAt.remove(new TaskId(job, index)));
             replication.grantsEnded(job, tasks);
@@ -318,59 +321,67 @@
   }
 
   /** The tasks of one job that are granted in one pass. */
-  private final class Grants {
+  private final class JobGrant {
     private final QueuedJob job;
-    private final int[] zoneLive;
+    private final int[] liveByZone;
     private final int allowed;
-    private final Map<Integer, Progress> next = new LinkedHashMap<>();
-    private final Map<Partition, Integer> partitions = new HashMap<>();
-    private final List<Integer> granted = new ArrayList<>();
-    private int count;
+    private final Map<Integer, Progress> updatedChunks = new LinkedHashMap<>();
+    private final Map<Partition, Integer> tasksByPartition = new HashMap<>();
+    private final List<Integer> grantedIndexes = new ArrayList<>();
+    private int grantedCount;
 
-    Grants(QueuedJob job, int[] zoneLive, int allowed) {
+    JobGrant(QueuedJob job, int[] liveByZone, int allowed) {
       this.job = job;
-      this.zoneLive = zoneLive;
+      this.liveByZone = liveByZone;
       this.allowed = allowed;
     }
 
     /** Grants tasks as far as limits and capacity allow; false only if capacity ran out. */
-    boolean fill(FreeCapacity free) {
+    boolean grantTasks(FreeCapacity freeCapacity) {
       JobSpec spec = job.spec();
-      FreeCapacity.Place place = null;
+      FreeCapacity.Candidate candidate = null;
       for (int chunk = 0; chunk * Constants.CHUNK_TASKS < spec.tasks(); chunk++) {
-        if (next.size() >= settings.state().txnOps() / 2) {
+        if (updatedChunks.size() >= settings.state().txnOps() / 2) {
           return true;
         }
-        Progress now = view.progress(job.id(), chunk);
+        Progress current = view.progress(job.id(), chunk);
         int end = Math.min(spec.tasks(), (chunk + 1) * Constants.CHUNK_TASKS);
         for (int i = chunk * Constants.CHUNK_TASKS; i < end; i++) {
-          if (now != null && (now.done.get(i) || now.live.containsKey(i))) {
+          if (current != null && (current.done.get(i) || current.live.containsKey(i))) {
             continue;
           }
-          if (count >= allowed) {
+          if (grantedCount >= allowed) {
             return true;
           }
-          boolean again =
-              place != null && !spec.service() && !spec.spread() && place.room().fits(spec);
-          place = again ? place : free.roomiest(spec, zoneLive, avoidance.of(job.id()));
-          if (place == null) {
+          boolean reuse =
+              candidate != null
+                  && !spec.service()
+                  && !spec.spread()
+                  && candidate.capacity().fits(spec);
+          candidate =
+              reuse
+                  ? candidate
+                  : freeCapacity.findCandidate(
+                      spec, liveByZone, avoidance.avoidedPartitions(job.id()));
+          if (candidate == null) {
             return false;
           }
-          add(chunk, now, i, place);
+          add(chunk, current, i, candidate);
         }
       }
       return true;
     }
 
-    private void add(int chunk, Progress now, int index, FreeCapacity.Place place) {
-      place.room().reserve(job.spec());
-      next.computeIfAbsent(chunk, k -> now == null ? new Progress() : now.copy())
-          .grant(index, place.part());
-      partitions.merge(place.part(), 1, Integer::sum);
+    private void add(int chunk, Progress current, int index, FreeCapacity.Candidate candidate) {
+      candidate.capacity().reserve(job.spec());
+      updatedChunks
+          .computeIfAbsent(chunk, k -> current == null ? new Progress() : current.copy())
+          .grant(index, candidate.partition());
+      tasksByPartition.merge(candidate.partition(), 1, Integer::sum);
       grantedAt.put(new TaskId(job.id(), index), clock.now());
-      granted.add(index);
-      zoneLive[zones.index(place.part().zone())]++;
-      count++;
+      grantedIndexes.add(index);
+      liveByZone[zones.indexOf(candidate.partition().zone())]++;
+      grantedCount++;
     }
 
     void write() {
@@ -378,27 +389,27 @@
           new Txn()
               .when(Keys.claim(Keys.LEADER), membership.leadership())
               .when(Keys.job(job.id()), job.stamp());
-      next.forEach(
+      updatedChunks.forEach(
           (chunk, progress) -> {
             String key = Keys.progress(job.id(), chunk);
             txn.when(key, view.stamp(key)).put(key, Records.progress(progress));
           });
-      LOG.debug("granting {} tasks of job {}", count, job.id());
-      replication.granted(job.id(), granted);
-      writes.grant(job.id(), partitions, txn);
+      LOG.debug("granting {} tasks of job {}", grantedCount, job.id());
+      replication.granted(job.id(), grantedIndexes);
+      writes.grant(job.id(), tasksByPartition, txn);
     }
   }
 
   /** Number of its class's objectives that the job would miss even if it started now. */
-  private int missedAims(Job job) {
+  private int missedObjectives(Job job) {
     double ageS = (clock.wall() - job.acceptedMs()) / 1000.0;
     int missed = 0;
-    for (Settings.Objective aim : settings.objectives()) {
-      if (aim.jobClass().equals(job.spec().jobClass())) {
-        double withinS = aim.withinS();
-        if (aim.times() > 0) {
+    for (Settings.Objective objective : settings.objectives()) {
+      if (objective.jobClass().equals(job.spec().jobClass())) {
+        double withinS = objective.withinS();
+        if (objective.times() > 0) {
           Double deadlineS = job.spec().deadlineS();
-          withinS = deadlineS == null ? 0 : deadlineS * aim.times();
+          withinS = deadlineS == null ? 0 : deadlineS * objective.times();
         }
         missed += withinS > 0 && ageS + job.spec().estimateS() > withinS ? 1 : 0;
       }
@@ -424,7 +435,7 @@
         + onlyZone;
   }
 
-  private void finish(String id, StateCache.Entry<Job> job) {
+  private void markDone(String id, StateCache.Entry<Job> job) {
     writes.write(
         id,
         Store.Urgency.LAUNCH,
@@ -435,7 +446,7 @@
   }
 
   /** Deletes the progress of an ended job that has no live tasks. */
-  private void clean(String id, TreeMap<Integer, StateCache.Entry<Progress>> chunks) {
+  private void deleteProgress(String id, TreeMap<Integer, StateCache.Entry<Progress>> chunks) {
     Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leadership());
     for (Integer chunk : chunks.keySet()) {
       if (txn.writes() < settings.state().txnOps()) {
--- a/src/main/java/org/baygw/control/quota/TeamUsage.java
+++ b/src/main/java/org/baygw/control/quota/TeamUsage.java
@@ -38,11 +38,13 @@
   /** Number of the wanted tasks that the team's limit allows. */
   int allowed(Settings.Team team, JobSpec spec, int wanted) {
     Amounts amounts = byTeam.get(team.name());
-    int byCpus = atMost(wanted, team.cpusMax() - amounts.cpus, spec.cpus());
-    return atMost(byCpus, team.gpusMax() - amounts.gpus, spec.gpus());
+    int byCpus = limit(wanted, team.cpusMax() - amounts.cpus, spec.cpus());
+    return limit(byCpus, team.gpusMax() - amounts.gpus, spec.gpus());
   }
 
-  private static int atMost(int wanted, double free, double each) {
-    return each <= 0 ? wanted : (int) Math.min(wanted, Math.floor((free + Constants.EPS) / each));
+  private static int limit(int wanted, double available, double perTask) {
+    return perTask <= 0
+        ? wanted
+        : (int) Math.min(wanted, Math.floor((available + Constants.EPS) / perTask));
   }
 }
--- a/src/main/java/org/baygw/control/quota/ZoneRules.java
+++ b/src/main/java/org/baygw/control/quota/ZoneRules.java
@@ -13,32 +13,32 @@
   }
 
   /** Live tasks per zone, all zero. */
-  int[] none() {
+  int[] emptyCounts() {
     return new int[zones.size()];
   }
 
   /** Index of a zone in the counts of live tasks, or -1 if the zone is unknown. */
-  int index(String zone) {
+  int indexOf(String zone) {
     return zones.indexOf(zone);
   }
 
-  void count(Progress progress, int[] zoneLive) {
+  void addLive(Progress progress, int[] liveByZone) {
     for (Progress.Live live : progress.live.values()) {
-      int zone = index(live.part().zone());
+      int zone = indexOf(live.part().zone());
       if (zone >= 0) {
-        zoneLive[zone]++;
+        liveByZone[zone]++;
       }
     }
   }
 
   /** The only zone in which another task may run, or null if there is no such rule. */
-  String only(JobSpec spec, int[] zoneLive) {
+  String requiredZone(JobSpec spec, int[] liveByZone) {
     if (spec.zone() != null) {
       return spec.zone();
     }
     if (spec.oneZone()) {
-      for (int zone = 0; zone < zoneLive.length; zone++) {
-        if (zoneLive[zone] > 0) {
+      for (int zone = 0; zone < liveByZone.length; zone++) {
+        if (liveByZone[zone] > 0) {
           return zones.get(zone);
         }
       }
@@ -47,26 +47,26 @@
   }
 
   /** Whether the job's limit per zone allows another task in the zone, if its other rules do. */
-  boolean hasShareLeft(JobSpec spec, int zone, int[] zoneLive) {
-    return !spec.spread() || zoneLive[zone] < spec.zoneCap();
+  boolean isBelowZoneLimit(JobSpec spec, int zone, int[] liveByZone) {
+    return !spec.spread() || liveByZone[zone] < spec.zoneCap();
   }
 
   /** The zone in which a machine for the task must be, or null for any; counts the task there. */
-  String zoneFor(JobSpec spec, int[] zoneLive) {
-    String zone = only(spec, zoneLive);
+  String assignZone(JobSpec spec, int[] liveByZone) {
+    String zone = requiredZone(spec, liveByZone);
     if (zone == null && (spec.spread() || spec.oneZone())) {
-      zone = zones.get(leastUsed(zoneLive));
+      zone = zones.get(leastUsed(liveByZone));
     }
     if (zone != null && zones.contains(zone)) {
-      zoneLive[index(zone)]++;
+      liveByZone[indexOf(zone)]++;
     }
     return zone;
   }
 
-  private static int leastUsed(int[] zoneLive) {
+  private static int leastUsed(int[] liveByZone) {
     int least = 0;
-    for (int zone = 1; zone < zoneLive.length; zone++) {
-      if (zoneLive[zone] < zoneLive[least]) {
+    for (int zone = 1; zone < liveByZone.length; zone++) {
+      if (liveByZone[zone] < liveByZone[least]) {
         least = zone;
       }
     }
