--- a/src/main/java/org/baygw/control/placement/BranchAndBound.java
+++ b/src/main/java/org/baygw/control/placement/BranchAndBound.java
@@ -25,7 +25,7 @@
   public record Item(double[] load, int currentHost, String group, boolean[] allowed) {}
 
   private static final int UNPLACED = -1;
-  private static final int OPEN = -2;
+  private static final int UNDECIDED = -2;
 
   private final List<Host> hosts;
   private final List<Item> items;
@@ -36,19 +36,19 @@
 
   // The current partial placement.
   private final double[][] free;
-  private final int[] at;
-  private final int[] held;
-  private final int[] waiting;
-  private int active;
+  private final int[] assigned;
+  private final int[] placedCount;
+  private final int[] undecidedCount;
+  private int activeHosts;
   private int moves;
-  private int skipped;
+  private int unplacedCount;
 
   // The path from the root: the item at each level, its candidate machines and the next to try.
   private final int[] pathItem;
   private final int[][] pathChildren;
-  private final int[] pathNext;
+  private final int[] pathNextChild;
   private int depth;
-  private boolean entered;
+  private boolean expanded;
   private boolean exhausted;
   private long nodes;
 
@@ -65,57 +65,57 @@
     this.alpha = alpha;
     this.mu = mu;
     this.maxMoves = maxMoves;
-    int n = items.size();
-    int m = hosts.size();
-    int d = m == 0 ? 0 : hosts.get(0).free().length;
-    free = new double[m][];
-    held = new int[m];
-    waiting = new int[m];
-    scale = new double[d];
-    for (int p = 0; p < m; p++) {
-      free[p] = hosts.get(p).free().clone();
-      active += hosts.get(p).occupied() ? 1 : 0;
-      for (int k = 0; k < d; k++) {
-        scale[k] = Math.max(scale[k], free[p][k]);
+    int itemCount = items.size();
+    int hostCount = hosts.size();
+    int resourceCount = hostCount == 0 ? 0 : hosts.get(0).free().length;
+    free = new double[hostCount][];
+    placedCount = new int[hostCount];
+    undecidedCount = new int[hostCount];
+    scale = new double[resourceCount];
+    for (int host = 0; host < hostCount; host++) {
+      free[host] = hosts.get(host).free().clone();
+      activeHosts += hosts.get(host).occupied() ? 1 : 0;
+      for (int resource = 0; resource < resourceCount; resource++) {
+        scale[resource] = Math.max(scale[resource], free[host][resource]);
       }
     }
-    at = new int[n];
-    Arrays.fill(at, OPEN);
-    bestPlacement = new int[n];
-    for (int v = 0; v < n; v++) {
-      int c = items.get(v).currentHost();
-      bestPlacement[v] = c;
-      if (c >= 0) {
-        waiting[c]++;
+    assigned = new int[itemCount];
+    Arrays.fill(assigned, UNDECIDED);
+    bestPlacement = new int[itemCount];
+    for (int item = 0; item < itemCount; item++) {
+      int current = items.get(item).currentHost();
+      bestPlacement[item] = current;
+      if (current >= 0) {
+        undecidedCount[current]++;
       }
     }
     // Leaving all tasks where they are is always a valid placement.
     bestCost = costOf(bestPlacement);
-    pathItem = new int[n + 1];
-    pathChildren = new int[n + 1][];
-    pathNext = new int[n + 1];
+    pathItem = new int[itemCount + 1];
+    pathChildren = new int[itemCount + 1][];
+    pathNextChild = new int[itemCount + 1];
   }
 
   /** Cost of a complete placement; an unplaced task costs as much as two machines. */
   private double costOf(int[] placement) {
-    boolean[] on = new boolean[hosts.size()];
+    boolean[] used = new boolean[hosts.size()];
     double cost = 0;
-    for (int p = 0; p < on.length; p++) {
-      on[p] = hosts.get(p).occupied();
+    for (int host = 0; host < used.length; host++) {
+      used[host] = hosts.get(host).occupied();
     }
-    for (int v = 0; v < placement.length; v++) {
-      int p = placement[v];
-      if (p < 0) {
+    for (int item = 0; item < placement.length; item++) {
+      int host = placement[item];
+      if (host < 0) {
         cost += 2 * alpha;
       } else {
-        on[p] = true;
-        if (items.get(v).currentHost() >= 0 && items.get(v).currentHost() != p) {
+        used[host] = true;
+        if (items.get(item).currentHost() >= 0 && items.get(item).currentHost() != host) {
           cost += mu;
         }
       }
     }
-    for (boolean b : on) {
-      cost += b ? alpha : 0;
+    for (boolean hostUsed : used) {
+      cost += hostUsed ? alpha : 0;
     }
     return cost;
   }
@@ -157,51 +157,51 @@
   }
 
   private void advance() {
-    if (!entered) {
+    if (!expanded) {
       // A new node: record a leaf, prune by the bound, or branch.
       double cost = cost();
       if (depth == items.size()) {
         if (cost < bestCost - Constants.EPS) {
           bestCost = cost;
-          System.arraycopy(at, 0, bestPlacement, 0, at.length);
+          System.arraycopy(assigned, 0, bestPlacement, 0, assigned.length);
           improved = true;
         }
-        back();
+        backtrack();
         return;
       }
       if (lowerBound() >= bestCost - Constants.EPS) {
-        back();
+        backtrack();
         return;
       }
-      int v = select();
-      pathItem[depth] = v;
-      pathChildren[depth] = children(v);
-      pathNext[depth] = 0;
-      entered = true;
+      int item = selectItem();
+      pathItem[depth] = item;
+      pathChildren[depth] = children(item);
+      pathNextChild[depth] = 0;
+      expanded = true;
       return;
     }
-    int v = pathItem[depth];
-    if (pathNext[depth] == pathChildren[depth].length) {
-      back();
+    int item = pathItem[depth];
+    if (pathNextChild[depth] == pathChildren[depth].length) {
+      backtrack();
       return;
     }
-    place(v, pathChildren[depth][pathNext[depth]++]);
+    place(item, pathChildren[depth][pathNextChild[depth]++]);
     depth++;
-    entered = false;
+    expanded = false;
   }
 
-  private void back() {
+  private void backtrack() {
     if (depth == 0) {
       exhausted = true;
       return;
     }
     depth--;
     unplace(pathItem[depth]);
-    entered = true;
+    expanded = true;
   }
 
   private double cost() {
-    return alpha * active + mu * moves + 2 * alpha * skipped;
+    return alpha * activeHosts + mu * moves + 2 * alpha * unplacedCount;
   }
 
   /**
@@ -211,18 +211,20 @@
    */
   double lowerBound() {
     double cost = cost();
-    int[] byCount = new int[items.size() + 1];
-    for (int p = 0; p < waiting.length; p++) {
-      if (waiting[p] > 0 && held[p] == 0 && !hosts.get(p).occupied()) {
-        byCount[waiting[p]]++;
+    int[] hostsByCount = new int[items.size() + 1];
+    for (int host = 0; host < undecidedCount.length; host++) {
+      if (undecidedCount[host] > 0 && placedCount[host] == 0 && !hosts.get(host).occupied()) {
+        hostsByCount[undecidedCount[host]]++;
         cost += alpha;
       }
     }
-    int left = maxMoves - moves;
-    for (int j = 1; j < byCount.length && j < alpha / mu && left > 0; j++) {
-      int t = Math.min(byCount[j], left / j);
-      left -= t * j;
-      cost -= t * (alpha - mu * j);
+    int movesLeft = maxMoves - moves;
+    for (int taskCount = 1;
+        taskCount < hostsByCount.length && taskCount < alpha / mu && movesLeft > 0;
+        taskCount++) {
+      int emptied = Math.min(hostsByCount[taskCount], movesLeft / taskCount);
+      movesLeft -= emptied * taskCount;
+      cost -= emptied * (alpha - mu * taskCount);
     }
     return cost;
   }
@@ -231,23 +233,23 @@
    * First-fail order: the task with the fewest possible machines; on ties the one with the largest
    * share of a single resource.
    */
-  private int select() {
+  private int selectItem() {
     int chosen = -1;
     int fewest = Integer.MAX_VALUE;
     double largest = -1;
-    for (int v = 0; v < at.length; v++) {
-      if (at[v] != OPEN) {
+    for (int item = 0; item < assigned.length; item++) {
+      if (assigned[item] != UNDECIDED) {
         continue;
       }
       int possible = 0;
-      for (int p = 0; p < free.length && possible <= fewest; p++) {
-        if (fits(v, p)) {
+      for (int host = 0; host < free.length && possible <= fewest; host++) {
+        if (fits(item, host)) {
           possible++;
         }
       }
-      double size = size(v);
+      double size = relativeSize(item);
       if (possible < fewest || possible == fewest && size > largest) {
-        chosen = v;
+        chosen = item;
         fewest = possible;
         largest = size;
       }
@@ -255,31 +257,31 @@
     return chosen;
   }
 
-  private double size(int v) {
+  private double relativeSize(int item) {
     double most = 0;
-    double[] load = items.get(v).load();
-    for (int k = 0; k < load.length; k++) {
-      most = Math.max(most, scale[k] > 0 ? load[k] / scale[k] : 0);
+    double[] load = items.get(item).load();
+    for (int resource = 0; resource < load.length; resource++) {
+      most = Math.max(most, scale[resource] > 0 ? load[resource] / scale[resource] : 0);
     }
     return most;
   }
 
-  private boolean fits(int v, int p) {
-    Item i = items.get(v);
-    if (!i.allowed()[p]) {
+  private boolean fits(int item, int host) {
+    Item task = items.get(item);
+    if (!task.allowed()[host]) {
       return false;
     }
-    if (i.currentHost() >= 0 && i.currentHost() != p && moves >= maxMoves) {
+    if (task.currentHost() >= 0 && task.currentHost() != host && moves >= maxMoves) {
       return false;
     }
-    for (int k = 0; k < free[p].length; k++) {
-      if (i.load()[k] > free[p][k] + Constants.EPS) {
+    for (int resource = 0; resource < free[host].length; resource++) {
+      if (task.load()[resource] > free[host][resource] + Constants.EPS) {
         return false;
       }
     }
-    if (i.group() != null && held[p] > 0) {
-      for (int w = 0; w < at.length; w++) {
-        if (at[w] == p && i.group().equals(items.get(w).group())) {
+    if (task.group() != null && placedCount[host] > 0) {
+      for (int other = 0; other < assigned.length; other++) {
+        if (assigned[other] == host && task.group().equals(items.get(other).group())) {
           return false;
         }
       }
@@ -288,97 +290,104 @@
   }
 
   /** The current machine first, then others by ascending free resources, empty machines last. */
-  private int[] children(int v) {
-    Item i = items.get(v);
+  private int[] children(int item) {
+    Item task = items.get(item);
     List<Integer> others = new ArrayList<>();
-    for (int p = 0; p < free.length; p++) {
-      if (p != i.currentHost() && fits(v, p) && !twin(v, p)) {
-        others.add(p);
+    for (int host = 0; host < free.length; host++) {
+      if (host != task.currentHost()
+          && fits(item, host)
+          && !isInterchangeableWithEarlier(item, host)) {
+        others.add(host);
       }
     }
     others.sort(
         (a, b) -> {
-          boolean ea = empty(a);
-          boolean eb = empty(b);
-          return ea != eb ? Boolean.compare(ea, eb) : Arrays.compare(free[a], free[b]);
+          boolean aEmpty = isEmpty(a);
+          boolean bEmpty = isEmpty(b);
+          return aEmpty != bEmpty
+              ? Boolean.compare(aEmpty, bEmpty)
+              : Arrays.compare(free[a], free[b]);
         });
-    List<Integer> out = new ArrayList<>();
-    if (i.currentHost() >= 0 && fits(v, i.currentHost())) {
-      out.add(i.currentHost());
+    List<Integer> result = new ArrayList<>();
+    if (task.currentHost() >= 0 && fits(item, task.currentHost())) {
+      result.add(task.currentHost());
     }
-    out.addAll(others);
-    if (i.currentHost() < 0) {
-      out.add(UNPLACED);
+    result.addAll(others);
+    if (task.currentHost() < 0) {
+      result.add(UNPLACED);
     }
-    return out.stream().mapToInt(Integer::intValue).toArray();
+    return result.stream().mapToInt(Integer::intValue).toArray();
   }
 
-  private boolean empty(int p) {
-    return held[p] == 0 && waiting[p] == 0 && !hosts.get(p).occupied();
+  private boolean isEmpty(int host) {
+    return placedCount[host] == 0 && undecidedCount[host] == 0 && !hosts.get(host).occupied();
   }
 
   /** Symmetry breaking: of interchangeable empty machines only the first is tried. */
-  private boolean twin(int v, int p) {
-    if (!empty(p)) {
+  private boolean isInterchangeableWithEarlier(int item, int host) {
+    if (!isEmpty(host)) {
       return false;
     }
-    for (int q = 0; q < p; q++) {
-      if (empty(q) && Arrays.equals(free[p], free[q]) && alike(p, q) && fits(v, q)) {
+    for (int other = 0; other < host; other++) {
+      if (isEmpty(other)
+          && Arrays.equals(free[host], free[other])
+          && allowedForSameTasks(host, other)
+          && fits(item, other)) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean alike(int p, int q) {
-    for (Item i : items) {
-      if (i.allowed()[p] != i.allowed()[q]) {
+  private boolean allowedForSameTasks(int host, int other) {
+    for (Item task : items) {
+      if (task.allowed()[host] != task.allowed()[other]) {
         return false;
       }
     }
     return true;
   }
 
-  private void place(int v, int p) {
-    Item i = items.get(v);
-    at[v] = p;
-    if (i.currentHost() >= 0) {
-      waiting[i.currentHost()]--;
-    }
-    if (p == UNPLACED) {
-      skipped++;
+  private void place(int item, int host) {
+    Item task = items.get(item);
+    assigned[item] = host;
+    if (task.currentHost() >= 0) {
+      undecidedCount[task.currentHost()]--;
+    }
+    if (host == UNPLACED) {
+      unplacedCount++;
       return;
     }
-    if (held[p]++ == 0 && !hosts.get(p).occupied()) {
-      active++;
+    if (placedCount[host]++ == 0 && !hosts.get(host).occupied()) {
+      activeHosts++;
     }
-    if (i.currentHost() >= 0 && i.currentHost() != p) {
+    if (task.currentHost() >= 0 && task.currentHost() != host) {
       moves++;
     }
-    for (int k = 0; k < free[p].length; k++) {
-      free[p][k] -= i.load()[k];
+    for (int resource = 0; resource < free[host].length; resource++) {
+      free[host][resource] -= task.load()[resource];
     }
   }
 
-  private void unplace(int v) {
-    Item i = items.get(v);
-    int p = at[v];
-    at[v] = OPEN;
-    if (i.currentHost() >= 0) {
-      waiting[i.currentHost()]++;
-    }
-    if (p == UNPLACED) {
-      skipped--;
+  private void unplace(int item) {
+    Item task = items.get(item);
+    int host = assigned[item];
+    assigned[item] = UNDECIDED;
+    if (task.currentHost() >= 0) {
+      undecidedCount[task.currentHost()]++;
+    }
+    if (host == UNPLACED) {
+      unplacedCount--;
       return;
     }
-    if (--held[p] == 0 && !hosts.get(p).occupied()) {
-      active--;
+    if (--placedCount[host] == 0 && !hosts.get(host).occupied()) {
+      activeHosts--;
     }
-    if (i.currentHost() >= 0 && i.currentHost() != p) {
+    if (task.currentHost() >= 0 && task.currentHost() != host) {
       moves--;
     }
-    for (int k = 0; k < free[p].length; k++) {
-      free[p][k] += i.load()[k];
+    for (int resource = 0; resource < free[host].length; resource++) {
+      free[host][resource] += task.load()[resource];
     }
   }
 }
--- a/src/main/java/org/baygw/control/placement/CapacityCache.java
+++ b/src/main/java/org/baygw/control/placement/CapacityCache.java
@@ -7,29 +7,29 @@
 
 /** Caches the free capacity of machines; recomputed only for machines that have changed. */
 public final class CapacityCache {
-  private record Known(Machine machine, MachineCapacity room) {}
+  private record CachedCapacity(Machine machine, MachineCapacity capacity) {}
 
   private final StateCache view;
-  private final Map<String, Known> known = new HashMap<>();
+  private final Map<String, CachedCapacity> cache = new HashMap<>();
 
   public CapacityCache(StateCache view) {
     this.view = view;
   }
 
   /** A copy that the caller may change; null for a machine of an unknown type. */
-  public MachineCapacity of(Machine m) {
-    Known k = known.get(m.name());
-    if (k == null || k.machine() != m) {
-      MachineCapacity r = MachineCapacity.of(view, m);
-      if (r == null) {
+  public MachineCapacity of(Machine machine) {
+    CachedCapacity cached = cache.get(machine.name());
+    if (cached == null || cached.machine() != machine) {
+      MachineCapacity capacity = MachineCapacity.of(view, machine);
+      if (capacity == null) {
         return null;
       }
-      if (known.size() > 2 * view.machines.size() + 16) {
-        known.keySet().retainAll(view.machines.keySet());
+      if (cache.size() > 2 * view.machines.size() + 16) {
+        cache.keySet().retainAll(view.machines.keySet());
       }
-      k = new Known(m, r);
-      known.put(m.name(), k);
+      cached = new CachedCapacity(machine, capacity);
+      cache.put(machine.name(), cached);
     }
-    return k.room().copy();
+    return cached.capacity().copy();
   }
 }
--- a/src/main/java/org/baygw/control/placement/MachineCapacity.java
+++ b/src/main/java/org/baygw/control/placement/MachineCapacity.java
@@ -16,38 +16,38 @@
 /** Free capacity of one machine, updated as tasks are tentatively placed on it. */
 public final class MachineCapacity {
   private final Machine machine;
-  private double cpus;
-  private double gpus;
-  private double memoryGb;
+  private double freeCpus;
+  private double freeGpus;
+  private double freeMemoryGb;
   private int tasks;
   private Set<String> jobs = new HashSet<>();
-  private boolean shared;
+  private boolean jobsShared;
 
   private MachineCapacity(Machine machine, MachineType type) {
     this(machine, type.cpus(), type.gpus(), type.memoryGb());
   }
 
-  private MachineCapacity(Machine machine, double cpus, double gpus, double memoryGb) {
+  private MachineCapacity(Machine machine, double freeCpus, double freeGpus, double freeMemoryGb) {
     this.machine = machine;
-    this.cpus = cpus;
-    this.gpus = gpus;
-    this.memoryGb = memoryGb;
+    this.freeCpus = freeCpus;
+    this.freeGpus = freeGpus;
+    this.freeMemoryGb = freeMemoryGb;
   }
 
   /** Returns null for a machine of an unknown type. */
-  public static MachineCapacity of(StateCache view, Machine m) {
-    MachineType type = view.type(m.type());
+  public static MachineCapacity of(StateCache view, Machine machine) {
+    MachineType type = view.type(machine.type());
     if (type == null) {
       return null;
     }
-    MachineCapacity r = new MachineCapacity(m, type);
-    for (Map.Entry<TaskId, Integer> t : m.tasks().entrySet()) {
-      StateCache.Entry<Job> j = view.jobs.get(t.getKey().job());
-      if (j != null) {
-        r.reserve(j.value().spec());
+    MachineCapacity capacity = new MachineCapacity(machine, type);
+    for (Map.Entry<TaskId, Integer> entry : machine.tasks().entrySet()) {
+      StateCache.Entry<Job> job = view.jobs.get(entry.getKey().job());
+      if (job != null) {
+        capacity.reserve(job.value().spec());
       }
     }
-    return r;
+    return capacity;
   }
 
   /** Capacity of an empty machine that is booting or could be rented. */
@@ -68,12 +68,12 @@
 
   /** An independent copy; the set of jobs is shared until one of the two changes it. */
   MachineCapacity copy() {
-    MachineCapacity r = new MachineCapacity(machine, cpus, gpus, memoryGb);
-    r.tasks = tasks;
-    r.jobs = jobs;
-    r.shared = true;
-    shared = true;
-    return r;
+    MachineCapacity copy = new MachineCapacity(machine, freeCpus, freeGpus, freeMemoryGb);
+    copy.tasks = tasks;
+    copy.jobs = jobs;
+    copy.jobsShared = true;
+    jobsShared = true;
+    return copy;
   }
 
   public Machine machine() {
@@ -81,15 +81,15 @@
   }
 
   public double freeCpus() {
-    return cpus;
+    return freeCpus;
   }
 
   public double freeGpus() {
-    return gpus;
+    return freeGpus;
   }
 
   public double freeMemoryGb() {
-    return memoryGb;
+    return freeMemoryGb;
   }
 
   /** Whether a task of the job is on the machine. */
@@ -102,36 +102,37 @@
   }
 
   /** Whether a task of the job meets the constraints and fits into the free capacity. */
-  public boolean fits(JobSpec s) {
-    return hasResourcesFor(s, 0, 0, 0) && meetsConstraints(s);
+  public boolean fits(JobSpec spec) {
+    return hasResourcesFor(spec, 0, 0, 0) && meetsConstraints(spec);
   }
 
   /** Whether the task would fit if the given amounts were free in addition. */
-  public boolean hasResourcesFor(JobSpec s, double moreCpus, double moreGpus, double moreMemoryGb) {
-    return cpus + moreCpus + Constants.EPS >= s.cpus()
-        && gpus + moreGpus + Constants.EPS >= s.gpus()
-        && memoryGb + moreMemoryGb + Constants.EPS >= s.memoryGb();
+  public boolean hasResourcesFor(
+      JobSpec spec, double extraCpus, double extraGpus, double extraMemoryGb) {
+    return freeCpus + extraCpus + Constants.EPS >= spec.cpus()
+        && freeGpus + extraGpus + Constants.EPS >= spec.gpus()
+        && freeMemoryGb + extraMemoryGb + Constants.EPS >= spec.memoryGb();
   }
 
   /** Whether the task may run on the machine, regardless of its free resources. */
-  public boolean meetsConstraints(JobSpec s) {
+  public boolean meetsConstraints(JobSpec spec) {
     return tasks < Constants.MAX_TASKS_PER_MACHINE
-        && allowed(s, machine.type(), machine.zone(), machine.spot())
+        && allowed(spec, machine.type(), machine.zone(), machine.spot())
         // Replicas of a service do not share a machine (the design's anti-colocation).
-        && !(s.service() && jobs.contains(s.id()));
+        && !(spec.service() && jobs.contains(spec.id()));
   }
 
-  public static boolean allowed(JobSpec s, String type, String zone, boolean spot) {
-    return s.typeAllowed(type)
-        && (s.zone() == null || s.zone().equals(zone))
-        && (s.spot() || !spot);
+  public static boolean allowed(JobSpec spec, String type, String zone, boolean spot) {
+    return spec.typeAllowed(type)
+        && (spec.zone() == null || spec.zone().equals(zone))
+        && (spec.spot() || !spot);
   }
 
   /** Releases the resources of a task on the machine. */
-  public void release(JobSpec s) {
-    cpus += s.cpus();
-    gpus += s.gpus();
-    memoryGb += s.memoryGb();
+  public void release(JobSpec spec) {
+    freeCpus += spec.cpus();
+    freeGpus += spec.gpus();
+    freeMemoryGb += spec.memoryGb();
     tasks--;
   }
 
@@ -140,10 +141,12 @@
    * that have its image, on which it starts at once. Other jobs prefer spot machines, which leaves
    * the rest to jobs that need them. Empty machines are used last, as in the search.
    */
-  public int rank(JobSpec s) {
-    int image = machine.images().contains(s.image()) ? 1 : 0;
+  public int rank(JobSpec spec) {
+    int image = machine.images().contains(spec.image()) ? 1 : 0;
     int used = tasks > 0 ? 1 : 0;
-    return s.service() ? image * 2 + used : (s.spot() && machine.spot() ? 4 : 0) + used * 2 + image;
+    return spec.service()
+        ? image * 2 + used
+        : (spec.spot() && machine.spot() ? 4 : 0) + used * 2 + image;
   }
 
   /**
@@ -152,50 +155,50 @@
    * become empty; then the oldest for services, which stay, and the newest for arrays, which end
    * soon. Callers must compare machines in order of age, oldest first.
    */
-  public boolean isBetterThan(MachineCapacity than, JobSpec s) {
-    int a = rank(s);
-    int b = than.rank(s);
-    if (a != b) {
-      return a > b;
+  public boolean isBetterThan(MachineCapacity other, JobSpec spec) {
+    int rank = rank(spec);
+    int otherRank = other.rank(spec);
+    if (rank != otherRank) {
+      return rank > otherRank;
     }
-    double more = cpus - than.cpus;
-    return Math.abs(more) > Constants.EPS ? more < 0 : !s.service();
+    double difference = freeCpus - other.freeCpus;
+    return Math.abs(difference) > Constants.EPS ? difference < 0 : !spec.service();
   }
 
-  public void reserve(JobSpec s) {
-    cpus -= s.cpus();
-    gpus -= s.gpus();
-    memoryGb -= s.memoryGb();
+  public void reserve(JobSpec spec) {
+    freeCpus -= spec.cpus();
+    freeGpus -= spec.gpus();
+    freeMemoryGb -= spec.memoryGb();
     tasks++;
-    if (shared) {
+    if (jobsShared) {
       jobs = new HashSet<>(jobs);
-      shared = false;
+      jobsShared = false;
     }
-    jobs.add(s.id());
+    jobs.add(spec.id());
   }
 
   /** Number of tasks of the job that fit, up to a maximum. */
-  public int countFitting(JobSpec s, int most) {
-    if (!fits(s)) {
+  public int countFitting(JobSpec spec, int max) {
+    if (!fits(spec)) {
       return 0;
     }
-    int n = s.service() ? 1 : most;
-    n = Math.min(n, Constants.MAX_TASKS_PER_MACHINE - tasks);
-    n = least(n, cpus, s.cpus());
-    n = least(n, gpus, s.gpus());
-    return least(n, memoryGb, s.memoryGb());
+    int count = spec.service() ? 1 : max;
+    count = Math.min(count, Constants.MAX_TASKS_PER_MACHINE - tasks);
+    count = limit(count, freeCpus, spec.cpus());
+    count = limit(count, freeGpus, spec.gpus());
+    return limit(count, freeMemoryGb, spec.memoryGb());
   }
 
   /** Tentatively places as many of the tasks as fit; returns how many remain. */
-  public int fill(JobSpec s, int waiting) {
-    int n = countFitting(s, waiting);
-    for (int i = 0; i < n; i++) {
-      reserve(s);
+  public int fill(JobSpec spec, int count) {
+    int fitting = countFitting(spec, count);
+    for (int i = 0; i < fitting; i++) {
+      reserve(spec);
     }
-    return waiting - n;
+    return count - fitting;
   }
 
-  private static int least(int n, double free, double each) {
-    return each <= 0 ? n : Math.min(n, (int) ((free + Constants.EPS) / each));
+  private static int limit(int count, double available, double perTask) {
+    return perTask <= 0 ? count : Math.min(count, (int) ((available + Constants.EPS) / perTask));
   }
 }
--- a/src/test/java/org/baygw/control/placement/BranchAndBoundTest.java
+++ b/src/test/java/org/baygw/control/placement/BranchAndBoundTest.java
@@ -21,93 +21,101 @@
    * Lowest cost over all placements. If relaxed, capacity, rules and the cost of unplaced tasks do
    * not count.
    */
-  private static double exhaustive(List<Host> hosts, List<Item> items, int k, boolean relaxed) {
-    return tryAll(hosts, items, k, relaxed, new int[items.size()], 0);
+  private static double exhaustive(
+      List<Host> hosts, List<Item> items, int maxMoves, boolean relaxed) {
+    return tryAll(hosts, items, maxMoves, relaxed, new int[items.size()], 0);
   }
 
   private static double tryAll(
-      List<Host> hosts, List<Item> items, int k, boolean relaxed, int[] at, int v) {
-    if (v == items.size()) {
-      return cost(hosts, items, k, relaxed, at);
+      List<Host> hosts,
+      List<Item> items,
+      int maxMoves,
+      boolean relaxed,
+      int[] placement,
+      int item) {
+    if (item == items.size()) {
+      return cost(hosts, items, maxMoves, relaxed, placement);
     }
     double best = Double.POSITIVE_INFINITY;
-    for (int p = items.get(v).currentHost() < 0 ? -1 : 0; p < hosts.size(); p++) {
-      if (p < 0 || relaxed || items.get(v).allowed()[p]) {
-        at[v] = p;
-        best = Math.min(best, tryAll(hosts, items, k, relaxed, at, v + 1));
+    for (int host = items.get(item).currentHost() < 0 ? -1 : 0; host < hosts.size(); host++) {
+      if (host < 0 || relaxed || items.get(item).allowed()[host]) {
+        placement[item] = host;
+        best = Math.min(best, tryAll(hosts, items, maxMoves, relaxed, placement, item + 1));
       }
     }
     return best;
   }
 
-  private static double cost(List<Host> hosts, List<Item> items, int k, boolean relaxed, int[] at) {
+  private static double cost(
+      List<Host> hosts, List<Item> items, int maxMoves, boolean relaxed, int[] placement) {
     double[][] free = new double[hosts.size()][];
-    boolean[] on = new boolean[hosts.size()];
-    for (int p = 0; p < free.length; p++) {
-      free[p] = hosts.get(p).free().clone();
-      on[p] = hosts.get(p).occupied();
+    boolean[] used = new boolean[hosts.size()];
+    for (int host = 0; host < free.length; host++) {
+      free[host] = hosts.get(host).free().clone();
+      used[host] = hosts.get(host).occupied();
     }
     int moves = 0;
     double cost = 0;
-    for (int v = 0; v < at.length; v++) {
-      Item i = items.get(v);
-      if (at[v] < 0) {
+    for (int item = 0; item < placement.length; item++) {
+      Item task = items.get(item);
+      if (placement[item] < 0) {
         cost += relaxed ? 0 : 2 * ALPHA;
         continue;
       }
-      on[at[v]] = true;
-      moves += i.currentHost() >= 0 && i.currentHost() != at[v] ? 1 : 0;
-      for (int d = 0; d < i.load().length; d++) {
-        free[at[v]][d] -= i.load()[d];
-        if (!relaxed && free[at[v]][d] < -1e-6) {
+      used[placement[item]] = true;
+      moves += task.currentHost() >= 0 && task.currentHost() != placement[item] ? 1 : 0;
+      for (int resource = 0; resource < task.load().length; resource++) {
+        free[placement[item]][resource] -= task.load()[resource];
+        if (!relaxed && free[placement[item]][resource] < -1e-6) {
           return Double.POSITIVE_INFINITY;
         }
       }
-      for (int w = 0; w < v; w++) {
+      for (int other = 0; other < item; other++) {
         if (!relaxed
-            && at[w] == at[v]
-            && i.group() != null
-            && i.group().equals(items.get(w).group())) {
+            && placement[other] == placement[item]
+            && task.group() != null
+            && task.group().equals(items.get(other).group())) {
           return Double.POSITIVE_INFINITY;
         }
       }
     }
-    if (moves > k) {
+    if (moves > maxMoves) {
       return Double.POSITIVE_INFINITY;
     }
-    for (boolean b : on) {
-      cost += b ? ALPHA : 0;
+    for (boolean hostUsed : used) {
+      cost += hostUsed ? ALPHA : 0;
     }
     return cost + MU * moves;
   }
 
   /** Adds a random case whose current placement satisfies the constraints. */
-  private static void fill(Random r, List<Host> hosts, List<Item> items, int m, int n) {
-    double[][] room = new double[m][];
-    for (int p = 0; p < m; p++) {
-      boolean occupied = r.nextInt(4) == 0;
-      room[p] = new double[] {occupied ? 4 : 8, occupied ? 5 : 9};
-      hosts.add(new Host(room[p].clone(), occupied));
+  private static void addRandomCase(
+      Random random, List<Host> hosts, List<Item> items, int hostCount, int itemCount) {
+    double[][] free = new double[hostCount][];
+    for (int host = 0; host < hostCount; host++) {
+      boolean occupied = random.nextInt(4) == 0;
+      free[host] = new double[] {occupied ? 4 : 8, occupied ? 5 : 9};
+      hosts.add(new Host(free[host].clone(), occupied));
     }
-    for (int v = 0; v < n; v++) {
-      double[] load = {1 + r.nextInt(4), 1 + r.nextInt(4)};
-      String group = r.nextInt(3) == 0 ? "g" : null;
-      int current = r.nextInt(m + 1) - 1;
+    for (int item = 0; item < itemCount; item++) {
+      double[] load = {1 + random.nextInt(4), 1 + random.nextInt(4)};
+      String group = random.nextInt(3) == 0 ? "g" : null;
+      int current = random.nextInt(hostCount + 1) - 1;
       if (current >= 0) {
-        boolean taken = room[current][0] < load[0] || room[current][1] < load[1];
-        for (Item i : items) {
-          taken |= i.currentHost() == current && group != null && group.equals(i.group());
+        boolean taken = free[current][0] < load[0] || free[current][1] < load[1];
+        for (Item task : items) {
+          taken |= task.currentHost() == current && group != null && group.equals(task.group());
         }
         if (taken) {
           current = -1;
         } else {
-          room[current][0] -= load[0];
-          room[current][1] -= load[1];
+          free[current][0] -= load[0];
+          free[current][1] -= load[1];
         }
       }
-      boolean[] allowed = new boolean[m];
-      for (int p = 0; p < m; p++) {
-        allowed[p] = p == current || r.nextInt(5) > 0;
+      boolean[] allowed = new boolean[hostCount];
+      for (int host = 0; host < hostCount; host++) {
+        allowed[host] = host == current || random.nextInt(5) > 0;
       }
       items.add(new Item(load, current, group, allowed));
     }
@@ -115,26 +123,26 @@
 
   @Test
   void findsTheOptimumOfSmallCases() {
-    Random r = new Random(11);
+    Random random = new Random(11);
     int better = 0;
     for (int round = 0; round < 300; round++) {
       List<Host> hosts = new ArrayList<>();
       List<Item> items = new ArrayList<>();
-      fill(r, hosts, items, 2 + r.nextInt(3), 1 + r.nextInt(5));
-      int k = r.nextInt(4);
-      BranchAndBound b = new BranchAndBound(hosts, items, ALPHA, MU, k);
-      double optimum = exhaustive(hosts, items, k, false);
+      addRandomCase(random, hosts, items, 2 + random.nextInt(3), 1 + random.nextInt(5));
+      int maxMoves = random.nextInt(4);
+      BranchAndBound search = new BranchAndBound(hosts, items, ALPHA, MU, maxMoves);
+      double optimum = exhaustive(hosts, items, maxMoves, false);
       assertTrue(
-          b.lowerBound() <= exhaustive(hosts, items, k, true) + 1e-6,
+          search.lowerBound() <= exhaustive(hosts, items, maxMoves, true) + 1e-6,
           "the bound is above the relaxed optimum in round " + round);
-      assertTrue(b.step(1_000_000));
-      assertEquals(optimum, b.bestCost(), 1e-6, "round " + round);
+      assertTrue(search.step(1_000_000));
+      assertEquals(optimum, search.bestCost(), 1e-6, "round " + round);
       assertEquals(
           optimum,
-          cost(hosts, items, k, false, b.bestPlacement()),
+          cost(hosts, items, maxMoves, false, search.bestPlacement()),
           1e-6,
           "cost of the best placement");
-      better += b.improved() ? 1 : 0;
+      better += search.improved() ? 1 : 0;
     }
     assertTrue(better > 100, "only " + better + " cases improved on the initial placement");
   }
@@ -147,16 +155,16 @@
     List<Item> items = new ArrayList<>();
     int[] counts = {1, 1, 2, 3};
     boolean[] all = {true, true, true, true};
-    for (int p = 0; p < counts.length; p++) {
+    for (int host = 0; host < counts.length; host++) {
       hosts.add(new Host(new double[] {100}, false));
-      for (int i = 0; i < counts[p]; i++) {
-        items.add(new Item(new double[] {1}, p, null, all));
+      for (int i = 0; i < counts[host]; i++) {
+        items.add(new Item(new double[] {1}, host, null, all));
       }
     }
-    BranchAndBound b = new BranchAndBound(hosts, items, ALPHA, MU, 3);
-    assertEquals(4 * ALPHA - 2 * (ALPHA - MU), b.lowerBound(), 1e-9);
-    assertTrue(b.step(10_000_000));
-    assertEquals(b.bestCost(), 4 * ALPHA - 2 * (ALPHA - MU), 1e-9);
+    BranchAndBound search = new BranchAndBound(hosts, items, ALPHA, MU, 3);
+    assertEquals(4 * ALPHA - 2 * (ALPHA - MU), search.lowerBound(), 1e-9);
+    assertTrue(search.step(10_000_000));
+    assertEquals(search.bestCost(), 4 * ALPHA - 2 * (ALPHA - MU), 1e-9);
   }
 
   @Test
@@ -167,25 +175,25 @@
     for (int i = 0; i < 10; i++) {
       items.add(new Item(new double[] {1}, 0, null, new boolean[] {true, true}));
     }
-    BranchAndBound b = new BranchAndBound(hosts, items, ALPHA, MU, 100);
-    assertEquals(2 * ALPHA, b.lowerBound(), 1e-9);
-    assertTrue(b.step(100));
-    assertFalse(b.improved());
+    BranchAndBound search = new BranchAndBound(hosts, items, ALPHA, MU, 100);
+    assertEquals(2 * ALPHA, search.lowerBound(), 1e-9);
+    assertTrue(search.step(100));
+    assertFalse(search.improved());
   }
 
   @Test
   void stopsWithTheBestSoFar() {
-    Random r = new Random(3);
+    Random random = new Random(3);
     List<Host> hosts = new ArrayList<>();
     List<Item> items = new ArrayList<>();
-    fill(r, hosts, items, 20, 60);
-    BranchAndBound b = new BranchAndBound(hosts, items, ALPHA, MU, 2);
-    double before = b.bestCost();
-    assertFalse(b.step(500));
-    assertEquals(500, b.nodes());
-    assertTrue(b.bestCost() <= before);
+    addRandomCase(random, hosts, items, 20, 60);
+    BranchAndBound search = new BranchAndBound(hosts, items, ALPHA, MU, 2);
+    double before = search.bestCost();
+    assertFalse(search.step(500));
+    assertEquals(500, search.nodes());
+    assertTrue(search.bestCost() <= before);
     assertTrue(
-        Double.isFinite(cost(hosts, items, 2, false, b.bestPlacement())),
+        Double.isFinite(cost(hosts, items, 2, false, search.bestPlacement())),
         "the best placement violates a constraint");
   }
 
@@ -196,9 +204,9 @@
     List<Item> items =
         List.of(
             new Item(new double[] {2}, -1, null, all), new Item(new double[] {1}, -1, null, all));
-    BranchAndBound b = new BranchAndBound(hosts, items, ALPHA, MU, 0);
-    assertTrue(b.step(100));
-    assertTrue(Arrays.equals(new int[] {-1, 0}, b.bestPlacement()));
+    BranchAndBound search = new BranchAndBound(hosts, items, ALPHA, MU, 0);
+    assertTrue(search.step(100));
+    assertTrue(Arrays.equals(new int[] {-1, 0}, search.bestPlacement()));
   }
 
   @Test
