--- a/src/main/java/org/baygw/control/placement/BranchAndBound.java
+++ b/src/main/java/org/baygw/control/placement/BranchAndBound.java
@@ -18,7 +18,7 @@
   /**
    * A task to place.
    *
-   * @param current index of its machine, or -1 if it is on none
+   * @param currentHost index of its machine, or -1 if it is on none
    * @param group tasks of the same group may not share a machine; null if there is no such rule
    * @param allowed whether each machine is allowed for the task; its current one always is
    */
--- a/src/main/java/org/baygw/control/quota/JobWrites.java
+++ b/src/main/java/org/baygw/control/quota/JobWrites.java
@@ -24,7 +24,7 @@
   private final Map<String, Map<Partition, Integer>> grantsByPartition = new HashMap<>();
 
   /**
-   * @param settled called whenever the outcome of a write is certain
+   * @param onSettled called whenever the outcome of a write is certain
    */
   JobWrites(Store store, Runnable onSettled) {
     this.store = store;
--- a/src/main/java/org/baygw/control/quota/QueuedJob.java
+++ b/src/main/java/org/baygw/control/quota/QueuedJob.java
@@ -8,12 +8,13 @@
  * A job with tasks that wait for a grant, as of one scheduler pass.
  *
  * @param stamp revision of the job's key, a condition of its grants
- * @param guest whether its team has no guarantee
+ * @param teamWithoutGuarantee whether its team has no guarantee
  * @param guaranteed whether it fits into its team's guarantee together with the team's earlier jobs
- * @param idleMs ms since acceptance if no task is live or done, else 0
- * @param missedAims number of its class's objectives that it would miss even if it started now
- * @param workS remaining CPU seconds, by the user's estimate
- * @param zoneLive number of its live tasks in each zone
+ * @param unstartedMs ms since acceptance if no task is live or done, else 0
+ * @param missedObjectives number of its class's objectives that it would miss even if it started
+ *     now
+ * @param remainingCpuS remaining CPU seconds, by the user's estimate
+ * @param liveByZone number of its live tasks in each zone
  */
 record QueuedJob(
     String id,
--- a/src/main/java/org/baygw/control/quota/UnmetDemand.java
+++ b/src/main/java/org/baygw/control/quota/UnmetDemand.java
@@ -9,7 +9,7 @@
  * @param zone the only zone in which they may run; null if they may run in any
  * @param count number of tasks
  * @param waitedMs ms for which the job has had such tasks
- * @param standing what the job is entitled to
+ * @param entitlement what the job is entitled to
  */
 public record UnmetDemand(
     JobSpec spec, String zone, int count, long waitedMs, Entitlement entitlement) {
@@ -19,9 +19,9 @@
    *
    * @param guaranteed whether it fits into its team's guarantee together with the team's earlier
    *     jobs
-   * @param reclaims whether capacity that other teams borrow may be reclaimed for it
-   * @param guest whether its team has no guarantee
-   * @param begun whether a task of it is live or done
+   * @param mayReclaim whether capacity that other teams borrow may be reclaimed for it
+   * @param teamWithoutGuarantee whether its team has no guarantee
+   * @param started whether a task of it is live or done
    */
   public record Entitlement(
       boolean guaranteed, boolean mayReclaim, boolean teamWithoutGuarantee, boolean started) {}
--- a/src/main/java/org/baygw/control/quota/ZoneRules.java
+++ b/src/main/java/org/baygw/control/quota/ZoneRules.java
@@ -12,7 +12,7 @@
     this.zones = zones;
   }
 
-  /** Live tasks per zone, all zero. */
+  /** Counts of live tasks per zone, all zero. */
   int[] emptyCounts() {
     return new int[zones.size()];
   }
@@ -46,7 +46,7 @@
     return null;
   }
 
-  /** Whether the job's limit per zone allows another task in the zone, if its other rules do. */
+  /** Whether the job's limit per zone allows another task in the zone; other rules do not count. */
   boolean isBelowZoneLimit(JobSpec spec, int zone, int[] liveByZone) {
     return !spec.spread() || liveByZone[zone] < spec.zoneCap();
   }
--- a/src/test/java/org/baygw/control/placement/BranchAndBoundTest.java
+++ b/src/test/java/org/baygw/control/placement/BranchAndBoundTest.java
@@ -149,8 +149,7 @@
 
   @Test
   void theBoundIsExactWhereOnlyEmptyingHelps() {
-    // Machines with one, one, two and three tasks; of three moves, two empty the first two
-    // machines.
+    // Machines with 1, 1, 2 and 3 tasks; three moves suffice to empty only the first two.
     List<Host> hosts = new ArrayList<>();
     List<Item> items = new ArrayList<>();
     int[] counts = {1, 1, 2, 3};
