--- a/src/main/java/org/baygw/control/placement/BranchAndBound.java
+++ b/src/main/java/org/baygw/control/placement/BranchAndBound.java
@@ -258,12 +258,12 @@
   }
 
   private double relativeSize(int item) {
-    double most = 0;
+    double largest = 0;
     double[] load = items.get(item).load();
     for (int resource = 0; resource < load.length; resource++) {
-      most = Math.max(most, scale[resource] > 0 ? load[resource] / scale[resource] : 0);
+      largest = Math.max(largest, scale[resource] > 0 ? load[resource] / scale[resource] : 0);
     }
-    return most;
+    return largest;
   }
 
   private boolean fits(int item, int host) {
--- a/src/main/java/org/baygw/control/quota/Preemption.java
+++ b/src/main/java/org/baygw/control/quota/Preemption.java
@@ -306,8 +306,8 @@
     }
   }
 
-  private static int count(List<Victim> victims, Predicate<Victim> which) {
-    return (int) victims.stream().filter(which).count();
+  private static int count(List<Victim> victims, Predicate<Victim> predicate) {
+    return (int) victims.stream().filter(predicate).count();
   }
 
   private int liveTasks(String job) {
--- a/src/main/java/org/baygw/control/quota/QueuedJob.java
+++ b/src/main/java/org/baygw/control/quota/QueuedJob.java
@@ -62,8 +62,8 @@
 
   /** What the job is entitled to. */
   UnmetDemand.Entitlement entitlement() {
-    boolean reclaims = guaranteed && unstartedMs > Constants.RECLAIM_MS;
+    boolean mayReclaim = guaranteed && unstartedMs > Constants.RECLAIM_MS;
     return new UnmetDemand.Entitlement(
-        guaranteed, reclaims, teamWithoutGuarantee, unstartedMs == 0);
+        guaranteed, mayReclaim, teamWithoutGuarantee, unstartedMs == 0);
   }
 }
--- a/src/main/java/org/baygw/control/quota/Scheduler.java
+++ b/src/main/java/org/baygw/control/quota/Scheduler.java
@@ -144,8 +144,8 @@
   }
 
   private double grantAgeS(TaskId task) {
-    Long at = grantedAt.get(task);
-    return at == null ? Double.POSITIVE_INFINITY : (clock.now() - at) / 1000.0;
+    Long grantedMs = grantedAt.get(task);
+    return grantedMs == null ? Double.POSITIVE_INFINITY : (clock.now() - grantedMs) / 1000.0;
   }
 
   /** One pass over all unfinished jobs. */
@@ -199,18 +199,18 @@
         }
       }
       usage.add(spec, live + writes.grantsInFlight(spec.id()));
-      boolean busy = writes.hasWriteInFlight(spec.id());
+      boolean writeInFlight = writes.hasWriteInFlight(spec.id());
       if (!job.open()) {
-        if (live == 0 && !chunks.isEmpty() && !busy) {
+        if (live == 0 && !chunks.isEmpty() && !writeInFlight) {
           deleteProgress(spec.id(), chunks);
         }
       } else if (done == spec.tasks()) {
-        if (!busy) {
+        if (!writeInFlight) {
           markDone(spec.id(), entry);
         }
       } else if (settings.team(spec.team()) != null) {
         updateGuaranteed(spec, done);
-        if (done + live < spec.tasks() && !busy) {
+        if (done + live < spec.tasks() && !writeInFlight) {
           queue.add(queuedJob(entry, live, done, liveByZone));
         }
       }
@@ -250,21 +250,21 @@
       }
       int[] liveByZone = job.liveByZone().clone();
       String shape = shape(spec, zones.requiredZone(spec, liveByZone));
-      JobGrant grants = new JobGrant(job, liveByZone, allowed);
-      boolean outOfCapacity = unplaceableShapes.contains(shape) || !grants.grantTasks(freeCapacity);
+      JobGrant grant = new JobGrant(job, liveByZone, allowed);
+      boolean outOfCapacity = unplaceableShapes.contains(shape) || !grant.grantTasks(freeCapacity);
       if (outOfCapacity && !spec.service() && !spec.spread() && !spec.oneZone()) {
         unplaceableShapes.add(shape);
       }
-      usage.add(spec, grants.grantedCount);
-      if (outOfCapacity && grants.grantedCount < allowed) {
-        long waitedMs = recordUnmet(job, allowed - grants.grantedCount, liveByZone);
+      usage.add(spec, grant.grantedCount);
+      if (outOfCapacity && grant.grantedCount < allowed) {
+        long waitedMs = recordUnmet(job, allowed - grant.grantedCount, liveByZone);
         if (waitedMs < Constants.LIMIT_RESERVED_MS) {
           // Machines are rented for these tasks, so the limit must still allow them later.
-          usage.add(spec, allowed - grants.grantedCount);
+          usage.add(spec, allowed - grant.grantedCount);
         }
       }
-      if (grants.grantedCount > 0) {
-        grants.write();
+      if (grant.grantedCount > 0) {
+        grant.write();
       }
     }
 
@@ -421,7 +421,7 @@
    * Resources and constraints of a job's tasks. If a job finds no capacity, other jobs of the same
    * shape need not be tried in this pass.
    */
-  private static String shape(JobSpec spec, String onlyZone) {
+  private static String shape(JobSpec spec, String requiredZone) {
     return spec.cpus()
         + " "
         + spec.gpus()
@@ -432,7 +432,7 @@
         + " "
         + spec.types()
         + " "
-        + onlyZone;
+        + requiredZone;
   }
 
   private void markDone(String id, StateCache.Entry<Job> job) {
--- a/src/main/java/org/baygw/control/quota/UnmetDemand.java
+++ b/src/main/java/org/baygw/control/quota/UnmetDemand.java
@@ -27,8 +27,8 @@
       boolean guaranteed, boolean mayReclaim, boolean teamWithoutGuarantee, boolean started) {}
 
   /** The same demand for the remaining tasks. */
-  UnmetDemand withCount(int left) {
-    return new UnmetDemand(spec, zone, left, waitedMs, entitlement);
+  UnmetDemand withCount(int remaining) {
+    return new UnmetDemand(spec, zone, remaining, waitedMs, entitlement);
   }
 
   /**
