--- a/src/main/java/org/baygw/control/placement/BranchAndBound.java
+++ b/src/main/java/org/baygw/control/placement/BranchAndBound.java
@@ -6,26 +6,26 @@
 import org.baygw.control.Constants;
 
 /**
- * The design's search: place the tasks so that alpha times active machines plus mu times moves is
- * least, with at most K moves. After Bartók and Mann (2015), section V; see docs/DESIGN.md. Runs in
- * steps, so that a controller answers others in between, and always holds the best placement so
- * far.
+ * Branch-and-bound search for the placement of tasks that minimizes alpha times the number of
+ * active machines plus mu times the number of moves, with a limit on moves. After Bartók and Mann
+ * (2015), section V; see docs/DESIGN.md. Runs in steps, so that the controller can handle other
+ * events in between, and always holds the best placement found so far.
  */
 public final class BranchAndBound {
-  /** A machine: room left by tasks that stay, and whether there are any. */
+  /** A machine: the resources left free by tasks that stay, and whether there are such tasks. */
   public record Host(double[] free, boolean occupied) {}
 
   /**
    * A task to place.
    *
-   * @param current index of its machine, or -1 if it is on none
-   * @param group tasks of the same group may not share a machine; null: no such rule
-   * @param allowed which machines the rules allow; its current one among them
+   * @param currentHost index of its machine, or -1 if it is on none
+   * @param group tasks of the same group may not share a machine; null if there is no such rule
+   * @param allowed whether each machine is allowed for the task; its current one always is
    */
-  public record Item(double[] load, int current, String group, boolean[] allowed) {}
+  public record Item(double[] load, int currentHost, String group, boolean[] allowed) {}
 
   private static final int UNPLACED = -1;
-  private static final int OPEN = -2;
+  private static final int UNDECIDED = -2;
 
   private final List<Host> hosts;
   private final List<Item> items;
@@ -34,25 +34,25 @@
   private final int maxMoves;
   private final double[] scale;
 
-  // The current partial solution, changed step by step.
+  // The current partial placement.
   private final double[][] free;
-  private final int[] at;
-  private final int[] held;
-  private final int[] waiting;
-  private int active;
+  private final int[] assigned;
+  private final int[] placedCount;
+  private final int[] undecidedCount;
+  private int activeHosts;
   private int moves;
-  private int skipped;
+  private int unplacedCount;
 
-  // The path from the root: the item of each level, its children and the next one to try.
+  // The path from the root: the item at each level, its candidate machines and the next to try.
   private final int[] pathItem;
   private final int[][] pathChildren;
-  private final int[] pathNext;
+  private final int[] pathNextChild;
   private int depth;
-  private boolean entered;
-  private boolean over;
+  private boolean expanded;
+  private boolean exhausted;
   private long nodes;
 
-  private final int[] best;
+  private final int[] bestPlacement;
   private double bestCost;
   private boolean improved;
 
@@ -65,188 +65,191 @@
     this.alpha = alpha;
     this.mu = mu;
     this.maxMoves = maxMoves;
-    int n = items.size();
-    int m = hosts.size();
-    int d = m == 0 ? 0 : hosts.get(0).free().length;
-    free = new double[m][];
-    held = new int[m];
-    waiting = new int[m];
-    scale = new double[d];
-    for (int p = 0; p < m; p++) {
-      free[p] = hosts.get(p).free().clone();
-      active += hosts.get(p).occupied() ? 1 : 0;
-      for (int k = 0; k < d; k++) {
-        scale[k] = Math.max(scale[k], free[p][k]);
+    int itemCount = items.size();
+    int hostCount = hosts.size();
+    int resourceCount = hostCount == 0 ? 0 : hosts.get(0).free().length;
+    free = new double[hostCount][];
+    placedCount = new int[hostCount];
+    undecidedCount = new int[hostCount];
+    scale = new double[resourceCount];
+    for (int host = 0; host < hostCount; host++) {
+      free[host] = hosts.get(host).free().clone();
+      activeHosts += hosts.get(host).occupied() ? 1 : 0;
+      for (int resource = 0; resource < resourceCount; resource++) {
+        scale[resource] = Math.max(scale[resource], free[host][resource]);
       }
     }
-    at = new int[n];
-    Arrays.fill(at, OPEN);
-    best = new int[n];
-    for (int v = 0; v < n; v++) {
-      int c = items.get(v).current();
-      best[v] = c;
-      if (c >= 0) {
-        waiting[c]++;
+    assigned = new int[itemCount];
+    Arrays.fill(assigned, UNDECIDED);
+    bestPlacement = new int[itemCount];
+    for (int item = 0; item < itemCount; item++) {
+      int current = items.get(item).currentHost();
+      bestPlacement[item] = current;
+      if (current >= 0) {
+        undecidedCount[current]++;
       }
     }
-    // Leaving everything where it is always is a solution.
-    bestCost = costOf(best);
-    pathItem = new int[n + 1];
-    pathChildren = new int[n + 1][];
-    pathNext = new int[n + 1];
+    // Leaving all tasks where they are is always a valid placement.
+    bestCost = costOf(bestPlacement);
+    pathItem = new int[itemCount + 1];
+    pathChildren = new int[itemCount + 1][];
+    pathNextChild = new int[itemCount + 1];
   }
 
-  /** Cost of a full placement; a task left unplaced costs as much as two machines. */
+  /** Cost of a complete placement; an unplaced task costs as much as two machines. */
   private double costOf(int[] placement) {
-    boolean[] on = new boolean[hosts.size()];
+    boolean[] used = new boolean[hosts.size()];
     double cost = 0;
-    for (int p = 0; p < on.length; p++) {
-      on[p] = hosts.get(p).occupied();
+    for (int host = 0; host < used.length; host++) {
+      used[host] = hosts.get(host).occupied();
     }
-    for (int v = 0; v < placement.length; v++) {
-      int p = placement[v];
-      if (p < 0) {
+    for (int item = 0; item < placement.length; item++) {
+      int host = placement[item];
+      if (host < 0) {
         cost += 2 * alpha;
       } else {
-        on[p] = true;
-        if (items.get(v).current() >= 0 && items.get(v).current() != p) {
+        used[host] = true;
+        if (items.get(item).currentHost() >= 0 && items.get(item).currentHost() != host) {
           cost += mu;
         }
       }
     }
-    for (boolean b : on) {
-      cost += b ? alpha : 0;
+    for (boolean hostUsed : used) {
+      cost += hostUsed ? alpha : 0;
     }
     return cost;
   }
 
-  /** Where the task was at the start. */
-  public int current(int item) {
-    return items.get(item).current();
+  /** Index of the machine on which the task was at the start, or -1. */
+  public int currentHost(int item) {
+    return items.get(item).currentHost();
   }
 
   public double bestCost() {
     return bestCost;
   }
 
-  /** Machine of each task in the best placement so far; -1: none. */
-  public int[] best() {
-    return best.clone();
+  /** Index of each task's machine in the best placement found so far; -1 for none. */
+  public int[] bestPlacement() {
+    return bestPlacement.clone();
   }
 
-  /** Whether something better than leaving everything was found. */
+  /** Whether a better placement than the initial one was found. */
   public boolean improved() {
     return improved;
   }
 
-  public boolean over() {
-    return over;
+  public boolean exhausted() {
+    return exhausted;
   }
 
   public long nodes() {
     return nodes;
   }
 
-  /** Visits up to so many nodes. Returns true when the whole tree has been searched. */
+  /** Visits up to a number of nodes. Returns true when the whole tree has been searched. */
   public boolean step(int budget) {
-    for (int i = 0; i < budget && !over; i++) {
+    for (int i = 0; i < budget && !exhausted; i++) {
       nodes++;
       advance();
     }
-    return over;
+    return exhausted;
   }
 
   private void advance() {
-    if (!entered) {
-      // At a node just reached: is it a leaf, hopeless, or to be branched?
+    if (!expanded) {
+      // A new node: record a leaf, prune by the bound, or branch.
       double cost = cost();
       if (depth == items.size()) {
         if (cost < bestCost - Constants.EPS) {
           bestCost = cost;
-          System.arraycopy(at, 0, best, 0, at.length);
+          System.arraycopy(assigned, 0, bestPlacement, 0, assigned.length);
           improved = true;
         }
-        back();
+        backtrack();
         return;
       }
       if (lowerBound() >= bestCost - Constants.EPS) {
-        back();
+        backtrack();
         return;
       }
-      int v = select();
-      pathItem[depth] = v;
-      pathChildren[depth] = children(v);
-      pathNext[depth] = 0;
-      entered = true;
+      int item = selectItem();
+      pathItem[depth] = item;
+      pathChildren[depth] = children(item);
+      pathNextChild[depth] = 0;
+      expanded = true;
       return;
     }
-    int v = pathItem[depth];
-    if (pathNext[depth] == pathChildren[depth].length) {
-      back();
+    int item = pathItem[depth];
+    if (pathNextChild[depth] == pathChildren[depth].length) {
+      backtrack();
       return;
     }
-    place(v, pathChildren[depth][pathNext[depth]++]);
+    place(item, pathChildren[depth][pathNextChild[depth]++]);
     depth++;
-    entered = false;
+    expanded = false;
   }
 
-  private void back() {
+  private void backtrack() {
     if (depth == 0) {
-      over = true;
+      exhausted = true;
       return;
     }
     depth--;
     unplace(pathItem[depth]);
-    entered = true;
+    expanded = true;
   }
 
   private double cost() {
-    return alpha * active + mu * moves + 2 * alpha * skipped;
+    return alpha * activeHosts + mu * moves + 2 * alpha * unplacedCount;
   }
 
   /**
-   * The least cost of any completion if capacity did not count: the tasks not placed yet stay where
-   * they are, and the machines that then hold the fewest are emptied while moves are left. Counting
-   * starts at machines that hold one task: one that holds none costs nothing and saves nothing.
+   * Lower bound on the cost of any completion, with capacity ignored: undecided tasks stay where
+   * they are, and the machines with the fewest of them are emptied while moves are left. Counting
+   * starts at machines with one task, since emptying a machine without tasks saves nothing.
    */
   double lowerBound() {
     double cost = cost();
-    int[] byCount = new int[items.size() + 1];
-    for (int p = 0; p < waiting.length; p++) {
-      if (waiting[p] > 0 && held[p] == 0 && !hosts.get(p).occupied()) {
-        byCount[waiting[p]]++;
+    int[] hostsByCount = new int[items.size() + 1];
+    for (int host = 0; host < undecidedCount.length; host++) {
+      if (undecidedCount[host] > 0 && placedCount[host] == 0 && !hosts.get(host).occupied()) {
+        hostsByCount[undecidedCount[host]]++;
         cost += alpha;
       }
     }
-    int left = maxMoves - moves;
-    for (int j = 1; j < byCount.length && j < alpha / mu && left > 0; j++) {
-      int t = Math.min(byCount[j], left / j);
-      left -= t * j;
-      cost -= t * (alpha - mu * j);
+    int movesLeft = maxMoves - moves;
+    for (int taskCount = 1;
+        taskCount < hostsByCount.length && taskCount < alpha / mu && movesLeft > 0;
+        taskCount++) {
+      int emptied = Math.min(hostsByCount[taskCount], movesLeft / taskCount);
+      movesLeft -= emptied * taskCount;
+      cost -= emptied * (alpha - mu * taskCount);
     }
     return cost;
   }
 
   /**
-   * First fail: the task with the fewest possible machines; the largest single resource on ties.
+   * First-fail order: the task with the fewest possible machines; on ties the one with the largest
+   * share of a single resource.
    */
-  private int select() {
+  private int selectItem() {
     int chosen = -1;
     int fewest = Integer.MAX_VALUE;
     double largest = -1;
-    for (int v = 0; v < at.length; v++) {
-      if (at[v] != OPEN) {
+    for (int item = 0; item < assigned.length; item++) {
+      if (assigned[item] != UNDECIDED) {
         continue;
       }
       int possible = 0;
-      for (int p = 0; p < free.length && possible <= fewest; p++) {
-        if (fits(v, p)) {
+      for (int host = 0; host < free.length && possible <= fewest; host++) {
+        if (fits(item, host)) {
           possible++;
         }
       }
-      double size = size(v);
+      double size = relativeSize(item);
       if (possible < fewest || possible == fewest && size > largest) {
-        chosen = v;
+        chosen = item;
         fewest = possible;
         largest = size;
       }
@@ -254,31 +257,31 @@
     return chosen;
   }
 
-  private double size(int v) {
-    double most = 0;
-    double[] load = items.get(v).load();
-    for (int k = 0; k < load.length; k++) {
-      most = Math.max(most, scale[k] > 0 ? load[k] / scale[k] : 0);
+  private double relativeSize(int item) {
+    double largest = 0;
+    double[] load = items.get(item).load();
+    for (int resource = 0; resource < load.length; resource++) {
+      largest = Math.max(largest, scale[resource] > 0 ? load[resource] / scale[resource] : 0);
     }
-    return most;
+    return largest;
   }
 
-  private boolean fits(int v, int p) {
-    Item i = items.get(v);
-    if (!i.allowed()[p]) {
+  private boolean fits(int item, int host) {
+    Item task = items.get(item);
+    if (!task.allowed()[host]) {
       return false;
     }
-    if (i.current() >= 0 && i.current() != p && moves >= maxMoves) {
+    if (task.currentHost() >= 0 && task.currentHost() != host && moves >= maxMoves) {
       return false;
     }
-    for (int k = 0; k < free[p].length; k++) {
-      if (i.load()[k] > free[p][k] + Constants.EPS) {
+    for (int resource = 0; resource < free[host].length; resource++) {
+      if (task.load()[resource] > free[host][resource] + Constants.EPS) {
         return false;
       }
     }
-    if (i.group() != null && held[p] > 0) {
-      for (int w = 0; w < at.length; w++) {
-        if (at[w] == p && i.group().equals(items.get(w).group())) {
+    if (task.group() != null && placedCount[host] > 0) {
+      for (int other = 0; other < assigned.length; other++) {
+        if (assigned[other] == host && task.group().equals(items.get(other).group())) {
           return false;
         }
       }
@@ -286,98 +289,105 @@
     return true;
   }
 
-  /** Its own machine first, then the others by free room, machines that are empty last. */
-  private int[] children(int v) {
-    Item i = items.get(v);
+  /** The current machine first, then others by ascending free resources, empty machines last. */
+  private int[] children(int item) {
+    Item task = items.get(item);
     List<Integer> others = new ArrayList<>();
-    for (int p = 0; p < free.length; p++) {
-      if (p != i.current() && fits(v, p) && !twin(v, p)) {
-        others.add(p);
+    for (int host = 0; host < free.length; host++) {
+      if (host != task.currentHost()
+          && fits(item, host)
+          && !isInterchangeableWithEarlier(item, host)) {
+        others.add(host);
       }
     }
     others.sort(
         (a, b) -> {
-          boolean ea = empty(a);
-          boolean eb = empty(b);
-          return ea != eb ? Boolean.compare(ea, eb) : Arrays.compare(free[a], free[b]);
+          boolean aEmpty = isEmpty(a);
+          boolean bEmpty = isEmpty(b);
+          return aEmpty != bEmpty
+              ? Boolean.compare(aEmpty, bEmpty)
+              : Arrays.compare(free[a], free[b]);
         });
-    List<Integer> out = new ArrayList<>();
-    if (i.current() >= 0 && fits(v, i.current())) {
-      out.add(i.current());
+    List<Integer> result = new ArrayList<>();
+    if (task.currentHost() >= 0 && fits(item, task.currentHost())) {
+      result.add(task.currentHost());
     }
-    out.addAll(others);
-    if (i.current() < 0) {
-      out.add(UNPLACED);
+    result.addAll(others);
+    if (task.currentHost() < 0) {
+      result.add(UNPLACED);
     }
-    return out.stream().mapToInt(Integer::intValue).toArray();
+    return result.stream().mapToInt(Integer::intValue).toArray();
   }
 
-  private boolean empty(int p) {
-    return held[p] == 0 && waiting[p] == 0 && !hosts.get(p).occupied();
+  private boolean isEmpty(int host) {
+    return placedCount[host] == 0 && undecidedCount[host] == 0 && !hosts.get(host).occupied();
   }
 
-  /** Of empty machines that no task can tell apart only the first is tried. */
-  private boolean twin(int v, int p) {
-    if (!empty(p)) {
+  /** Symmetry breaking: of interchangeable empty machines only the first is tried. */
+  private boolean isInterchangeableWithEarlier(int item, int host) {
+    if (!isEmpty(host)) {
       return false;
     }
-    for (int q = 0; q < p; q++) {
-      if (empty(q) && Arrays.equals(free[p], free[q]) && alike(p, q) && fits(v, q)) {
+    for (int other = 0; other < host; other++) {
+      if (isEmpty(other)
+          && Arrays.equals(free[host], free[other])
+          && allowedForSameTasks(host, other)
+          && fits(item, other)) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean alike(int p, int q) {
-    for (Item i : items) {
-      if (i.allowed()[p] != i.allowed()[q]) {
+  private boolean allowedForSameTasks(int host, int other) {
+    for (Item task : items) {
+      if (task.allowed()[host] != task.allowed()[other]) {
         return false;
       }
     }
     return true;
   }
 
-  private void place(int v, int p) {
-    Item i = items.get(v);
-    at[v] = p;
-    if (i.current() >= 0) {
-      waiting[i.current()]--;
-    }
-    if (p == UNPLACED) {
-      skipped++;
+  private void place(int item, int host) {
+    Item task = items.get(item);
+    assigned[item] = host;
+    if (task.currentHost() >= 0) {
+      undecidedCount[task.currentHost()]--;
+    }
+    if (host == UNPLACED) {
+      unplacedCount++;
       return;
     }
-    if (held[p]++ == 0 && !hosts.get(p).occupied()) {
-      active++;
+    if (placedCount[host]++ == 0 && !hosts.get(host).occupied()) {
+      activeHosts++;
     }
-    if (i.current() >= 0 && i.current() != p) {
+    if (task.currentHost() >= 0 && task.currentHost() != host) {
       moves++;
     }
-    for (int k = 0; k < free[p].length; k++) {
-      free[p][k] -= i.load()[k];
+    for (int resource = 0; resource < free[host].length; resource++) {
+      free[host][resource] -= task.load()[resource];
     }
   }
 
-  private void unplace(int v) {
-    Item i = items.get(v);
-    int p = at[v];
-    at[v] = OPEN;
-    if (i.current() >= 0) {
-      waiting[i.current()]++;
-    }
-    if (p == UNPLACED) {
-      skipped--;
+  private void unplace(int item) {
+    Item task = items.get(item);
+    int host = assigned[item];
+    assigned[item] = UNDECIDED;
+    if (task.currentHost() >= 0) {
+      undecidedCount[task.currentHost()]++;
+    }
+    if (host == UNPLACED) {
+      unplacedCount--;
       return;
     }
-    if (--held[p] == 0 && !hosts.get(p).occupied()) {
-      active--;
+    if (--placedCount[host] == 0 && !hosts.get(host).occupied()) {
+      activeHosts--;
     }
-    if (i.current() >= 0 && i.current() != p) {
+    if (task.currentHost() >= 0 && task.currentHost() != host) {
       moves--;
     }
-    for (int k = 0; k < free[p].length; k++) {
-      free[p][k] += i.load()[k];
+    for (int resource = 0; resource < free[host].length; resource++) {
+      free[host][resource] += task.load()[resource];
     }
   }
 }
--- a/src/main/java/org/baygw/control/quota/PartitionAvoidance.java
+++ b/src/main/java/org/baygw/control/quota/PartitionAvoidance.java
@@ -14,19 +14,20 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * Which partitions gave a job's tasks back without having placed them. Only the partition's owner
- * knows why, such as a machine that fails them all, and its room would draw them there for ever.
+ * The partitions that returned tasks of a job without placing them. Only a partition's owner knows
+ * the reason, such as a machine on which all of them fail, and its free capacity would attract the
+ * tasks again and again.
  */
 final class PartitionAvoidance {
   private final Clock clock;
   private final StateCache view;
   private final Membership membership;
 
-  /** Tasks that were granted and on no machine yet when last looked at. */
-  private final Map<TaskId, Partition> waiting = new HashMap<>();
+  /** Granted tasks that were on no machine at the last update. */
+  private final Map<TaskId, Partition> unplaced = new HashMap<>();
 
-  /** By job, the partitions to avoid and until when. */
-  private final Map<String, Map<Partition, Long>> avoided = new HashMap<>();
+  /** By job, the partitions to avoid and the time at which that ends. */
+  private final Map<String, Map<Partition, Long>> avoidedUntil = new HashMap<>();
 
   PartitionAvoidance(Clock clock, StateCache view, Membership membership) {
     this.clock = clock;
@@ -34,34 +35,36 @@
     this.membership = membership;
   }
 
-  /** The partitions that get tasks of the job only if no other has room. */
-  Set<Partition> of(String job) {
-    return avoided.getOrDefault(job, Map.of()).keySet();
+  /** The partitions that get tasks of the job only if no other has capacity. */
+  Set<Partition> avoidedPartitions(String job) {
+    return avoidedUntil.getOrDefault(job, Map.of()).keySet();
   }
 
-  /** Compares what waits for a machine now with what did when this was last called. */
+  /** Compares the tasks that wait for a machine with those of the previous call. */
   void update() {
     long now = clock.now();
-    for (Iterator<Map.Entry<TaskId, Partition>> it = waiting.entrySet().iterator();
+    for (Iterator<Map.Entry<TaskId, Partition>> it = unplaced.entrySet().iterator();
         it.hasNext(); ) {
       Map.Entry<TaskId, Partition> entry = it.next();
       if (!view.unplaced(entry.getValue()).contains(entry.getKey())) {
         it.remove();
-        if (cameBackUnplaced(entry.getKey())) {
-          avoided
+        if (returnedUnplaced(entry.getKey())) {
+          avoidedUntil
               .computeIfAbsent(entry.getKey().job(), k -> new HashMap<>())
-              .put(entry.getValue(), now + Constants.AVOID_MS);
+              .put(entry.getValue(), now + Constants.PARTITION_AVOID_MS);
         }
       }
     }
-    for (Partition part : membership.partitions()) {
-      view.unplaced(part).forEach(task -> waiting.put(task, part));
+    for (Partition partition : membership.partitions()) {
+      view.unplaced(partition).forEach(task -> unplaced.put(task, partition));
     }
-    avoided.values().forEach(partitions -> partitions.values().removeIf(until -> now >= until));
-    avoided.values().removeIf(Map::isEmpty);
+    avoidedUntil
+        .values()
+        .forEach(partitions -> partitions.values().removeIf(until -> now >= until));
+    avoidedUntil.values().removeIf(Map::isEmpty);
   }
 
-  private boolean cameBackUnplaced(TaskId task) {
+  private boolean returnedUnplaced(TaskId task) {
     StateCache.Entry<Job> job = view.jobs.get(task.job());
     Progress progress = view.progress(task.job(), task.index() / Constants.CHUNK_TASKS);
     return job != null
--- a/src/main/java/org/baygw/control/quota/Preemption.java
+++ b/src/main/java/org/baygw/control/quota/Preemption.java
@@ -30,54 +30,64 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes room as the protocol allows, by stopping work of lower priority, or for a guarantee what
- * another team borrows. That is done for production jobs, for jobs that have waited long for their
- * team's guarantee, and at once where the work of a guest can be stopped without loss: nothing is
- * guaranteed to a guest, so it cannot take the room back, and teams do not take turns.
+ * Frees capacity as the protocol allows, by stopping tasks of lower priority or, for a job within
+ * its team's guarantee, tasks by which another team exceeds its own. Tasks are stopped for
+ * production jobs, for jobs that have waited long for their team's guarantee, and without waiting
+ * where a task of a team without guarantee can be stopped without loss: such a team cannot reclaim
+ * the capacity, so teams do not preempt each other in turns.
  */
 final class Preemption {
   private static final Logger LOG = LoggerFactory.getLogger(Preemption.class);
 
-  /** A task that could be stopped, and what that costs in seconds. */
+  /** A task that could be stopped, and the cost of stopping it in seconds. */
   private record Victim(TaskId task, JobSpec spec, double cost) {}
 
-  /** What would be stopped on a machine for one task, and what that costs. */
-  private record Stops(List<Victim> victims, double cost) {}
+  /**
+   * The tasks to stop on a machine for one task, and the total cost in seconds, with that of a
+   * missing image.
+   */
+  private record PreemptionOption(List<Victim> victims, double cost) {}
 
   private final Settings settings;
   private final StateCache view;
   private final Membership membership;
-  private final CapacityCache rooms;
+  private final CapacityCache capacityCache;
   private final JobWrites writes;
 
-  /** The teams to which nothing is guaranteed. */
-  private final List<String> guests;
+  /** Names of the teams without a guarantee. */
+  private final List<String> teamsWithoutGuarantee;
 
-  /** Seconds since this scheduler granted a task; endless where a former one did. */
+  /**
+   * Seconds since a task was granted; infinite if a former leader granted it at an unknown time.
+   */
   private final ToDoubleFunction<TaskId> grantAgeS;
 
   /**
-   * Tasks whose stop is being written: their room counts as coming free, or more would be stopped.
+   * Tasks whose stop is being written. Their capacity counts as being freed, or more tasks would be
+   * stopped for the same demand.
    */
   private final Set<TaskId> stopping = new HashSet<>();
 
-  /** Where the look for what to stop begins, so that each machine has its turn. */
-  private int firstLook;
+  /**
+   * Index of the machine at which the next search starts, so that all machines are searched in
+   * turn.
+   */
+  private int firstMachine;
 
   Preemption(
       Settings settings,
       StateCache view,
       Membership membership,
-      CapacityCache rooms,
+      CapacityCache capacityCache,
       JobWrites writes,
       ToDoubleFunction<TaskId> grantAgeS) {
     this.settings = settings;
     this.view = view;
     this.membership = membership;
-    this.rooms = rooms;
+    this.capacityCache = capacityCache;
     this.writes = writes;
     this.grantAgeS = grantAgeS;
-    this.guests =
+    this.teamsWithoutGuarantee =
         settings.teams().stream()
             .filter(team -> !team.hasGuarantee())
             .map(Settings.Team::name)
@@ -85,8 +95,8 @@
   }
 
   /**
-   * Stops tasks for what found no room. Demand that is covered that way leaves the list, so that
-   * nothing is rented for it.
+   * Stops tasks for demand that found no capacity. Covered demand is removed from the list, so that
+   * no machines are rented for it.
    *
    * @param guaranteed the unfinished jobs that fit into their teams' guarantees
    */
@@ -94,195 +104,210 @@
     stopping.removeIf(task -> view.grant(task) == null);
     Pass pass = new Pass(usage, guaranteed);
     ListIterator<UnmetDemand> it = unmet.listIterator();
-    while (it.hasNext() && pass.stopped < Constants.PREEMPT_PER_PASS) {
+    while (it.hasNext() && pass.stoppedTasks < Constants.PREEMPT_MAX_TASKS) {
       UnmetDemand demand = it.next();
-      if (mayStopOthers(demand, usage)) {
-        int left = pass.makeRoom(demand);
-        if (left == 0) {
+      if (mayPreempt(demand, usage)) {
+        int remaining = pass.freeCapacityFor(demand);
+        if (remaining == 0) {
           it.remove();
         } else {
-          it.set(demand.withCount(left));
+          it.set(demand.withCount(remaining));
         }
       }
     }
-    if (pass.stopped > 0) {
-      LOG.info("stop {} tasks of {} jobs to make room", pass.stopped, pass.byJob.size());
+    if (pass.stoppedTasks > 0) {
+      LOG.info(
+          "stopping {} tasks of {} jobs to free capacity",
+          pass.stoppedTasks,
+          pass.victimsByJob.size());
     }
-    pass.byJob.forEach(this::stop);
+    pass.victimsByJob.forEach(this::stop);
   }
 
-  private boolean mayStopOthers(UnmetDemand demand, TeamUsage usage) {
+  private boolean mayPreempt(UnmetDemand demand, TeamUsage usage) {
     return demand.spec().priority() == JobSpec.Priority.PRODUCTION
-        || demand.standing().reclaims()
-        || !demand.standing().guest() && guests.stream().anyMatch(team -> usage.cpus(team) > 0);
+        || demand.entitlement().mayReclaim()
+        || !demand.entitlement().teamWithoutGuarantee()
+            && teamsWithoutGuarantee.stream().anyMatch(team -> usage.cpus(team) > 0);
   }
 
-  /** One pass: what is chosen to be stopped, with the room that this gives. */
+  /** One pass: the tasks chosen to be stopped, and the capacity that this frees. */
   private final class Pass {
     private final TeamUsage usage;
     private final Set<String> guaranteed;
-    private final Map<MachineCapacity, List<Victim>> victims = new HashMap<>();
-    private final Map<String, List<Victim>> byJob = new LinkedHashMap<>();
+    private final Map<MachineCapacity, List<Victim>> candidatesByMachine = new HashMap<>();
+    private final Map<String, List<Victim>> victimsByJob = new LinkedHashMap<>();
 
-    /** Live tasks of the jobs whose tasks were looked at, less those that are chosen. */
-    private final Map<String, Integer> live = new HashMap<>();
+    /** Number of live tasks of the jobs considered so far, without the chosen victims. */
+    private final Map<String, Integer> liveByJob = new HashMap<>();
 
     private List<MachineCapacity> machines;
-    private int stopped;
+    private int stoppedTasks;
 
     Pass(TeamUsage usage, Set<String> guaranteed) {
       this.usage = usage;
       this.guaranteed = guaranteed;
     }
 
-    /** Chooses what to stop for a job's tasks; returns for how many nothing was found. */
-    int makeRoom(UnmetDemand demand) {
+    /**
+     * Chooses tasks to stop for the demand; returns how many of its tasks remain without capacity.
+     */
+    int freeCapacityFor(UnmetDemand demand) {
       if (machines == null) {
-        machines = machines();
+        machines = usableMachines();
       }
-      int left = demand.count();
-      Map<MachineCapacity, Stops> options = options(demand);
-      while (left > 0 && stopped < Constants.PREEMPT_PER_PASS && stopCheapest(demand, options)) {
-        left--;
+      int remaining = demand.count();
+      Map<MachineCapacity, PreemptionOption> options = options(demand);
+      while (remaining > 0
+          && stoppedTasks < Constants.PREEMPT_MAX_TASKS
+          && selectCheapest(demand, options)) {
+        remaining--;
       }
-      return left;
+      return remaining;
     }
 
     /**
-     * Where one of the tasks could come, by stopping what: on machines that have its image, and
-     * where too few do on others. The cheapest of some is nearly as good as the cheapest of all.
+     * The machines that could run one of the tasks, each with the tasks to stop there. Machines
+     * that have the image come first, others only while fewer than the limit were examined. The
+     * cheapest of a sample is nearly as good as the cheapest of all.
      */
-    private Map<MachineCapacity, Stops> options(UnmetDemand demand) {
-      Map<MachineCapacity, Stops> found = new LinkedHashMap<>();
-      int looked = 0;
-      for (boolean image : new boolean[] {true, false}) {
-        for (int i = 0; i < machines.size() && looked < Constants.PREEMPT_LOOKS; i++) {
-          MachineCapacity room = machines.get((firstLook + i) % machines.size());
-          if (room.machine().images().contains(demand.spec().image()) == image
-              && (demand.zone() == null || demand.zone().equals(room.machine().zone()))
-              && room.suits(demand.spec())) {
-            looked++;
-            put(found, room, needed(demand, room));
+    private Map<MachineCapacity, PreemptionOption> options(UnmetDemand demand) {
+      Map<MachineCapacity, PreemptionOption> found = new LinkedHashMap<>();
+      int examined = 0;
+      for (boolean hasImage : new boolean[] {true, false}) {
+        for (int i = 0; i < machines.size() && examined < Constants.PREEMPT_MAX_MACHINES; i++) {
+          MachineCapacity capacity = machines.get((firstMachine + i) % machines.size());
+          if (capacity.machine().images().contains(demand.spec().image()) == hasImage
+              && (demand.zone() == null || demand.zone().equals(capacity.machine().zone()))
+              && capacity.meetsConstraints(demand.spec())) {
+            examined++;
+            putOrRemove(found, capacity, optionFor(demand, capacity));
           }
         }
       }
-      if (machines.size() > Constants.PREEMPT_LOOKS) {
-        firstLook = (firstLook + looked) % machines.size();
+      if (machines.size() > Constants.PREEMPT_MAX_MACHINES) {
+        firstMachine = (firstMachine + examined) % machines.size();
       }
       return found;
     }
 
-    /** Chooses what to stop for one task; false where nothing helps. */
-    private boolean stopCheapest(UnmetDemand demand, Map<MachineCapacity, Stops> options) {
-      for (MachineCapacity room = cheapest(options); room != null; room = cheapest(options)) {
-        // What the other tasks' stops left of a team's borrowing may have changed it.
-        Stops now = needed(demand, room);
-        if (now != null && now.victims().equals(options.get(room).victims())) {
-          choose(demand, room, now);
-          put(options, room, needed(demand, room));
+    /** Chooses the tasks to stop for one task; false if no machine can run it that way. */
+    private boolean selectCheapest(
+        UnmetDemand demand, Map<MachineCapacity, PreemptionOption> options) {
+      for (MachineCapacity capacity = cheapest(options);
+          capacity != null;
+          capacity = cheapest(options)) {
+        // Victims chosen since reduce what their teams borrow, which may rule out this option.
+        PreemptionOption current = optionFor(demand, capacity);
+        if (current != null && current.victims().equals(options.get(capacity).victims())) {
+          select(demand, capacity, current);
+          putOrRemove(options, capacity, optionFor(demand, capacity));
           return true;
         }
-        put(options, room, now);
+        putOrRemove(options, capacity, current);
       }
       return false;
     }
 
-    private void choose(UnmetDemand demand, MachineCapacity room, Stops stops) {
-      for (Victim victim : stops.victims()) {
-        room.free(victim.spec());
-        victims.get(room).remove(victim);
+    private void select(UnmetDemand demand, MachineCapacity capacity, PreemptionOption option) {
+      for (Victim victim : option.victims()) {
+        capacity.release(victim.spec());
+        candidatesByMachine.get(capacity).remove(victim);
         usage.add(victim.spec(), -1);
-        byJob.computeIfAbsent(victim.task().job(), k -> new ArrayList<>()).add(victim);
-        live.merge(victim.task().job(), -1, Integer::sum);
+        victimsByJob.computeIfAbsent(victim.task().job(), k -> new ArrayList<>()).add(victim);
+        liveByJob.merge(victim.task().job(), -1, Integer::sum);
       }
-      room.take(demand.spec());
-      stopped += stops.victims().size();
+      capacity.reserve(demand.spec());
+      stoppedTasks += option.victims().size();
     }
 
-    /** What to stop so that the task fits on the machine; null if nothing would do. */
-    private Stops needed(UnmetDemand demand, MachineCapacity room) {
+    /** The tasks to stop so that the task fits on the machine; null if it cannot fit. */
+    private PreemptionOption optionFor(UnmetDemand demand, MachineCapacity capacity) {
       JobSpec spec = demand.spec();
-      if (!room.suits(spec)) {
-        return null; // a copy of the service has come there in thought
+      if (!capacity.meetsConstraints(spec)) {
+        return null; // a replica of the service has been planned there meanwhile
       }
-      List<Victim> candidates = victims.computeIfAbsent(room, Preemption.this::victims);
+      List<Victim> candidates =
+          candidatesByMachine.computeIfAbsent(capacity, Preemption.this::candidates);
       double cpus = 0;
       double gpus = 0;
       double memoryGb = 0;
-      double cost = room.machine().images().contains(spec.image()) ? 0 : Constants.COLD_COST_S;
+      double cost =
+          capacity.machine().images().contains(spec.image()) ? 0 : Constants.COLD_START_COST_S;
       List<Victim> chosen = new ArrayList<>();
-      boolean fits = room.fitsWith(spec, cpus, gpus, memoryGb);
+      boolean fits = capacity.hasResourcesFor(spec, cpus, gpus, memoryGb);
       for (Victim victim : candidates) {
         if (fits) {
           break;
         }
-        JobSpec other = victim.spec();
+        JobSpec victimSpec = victim.spec();
         if (!mayStop(demand, victim, chosen)) {
           continue;
         }
         chosen.add(victim);
-        cpus += other.cpus();
-        gpus += other.gpus();
-        memoryGb += other.memoryGb();
+        cpus += victimSpec.cpus();
+        gpus += victimSpec.gpus();
+        memoryGb += victimSpec.memoryGb();
         cost += victim.cost();
-        fits = room.fitsWith(spec, cpus, gpus, memoryGb);
+        fits = capacity.hasResourcesFor(spec, cpus, gpus, memoryGb);
       }
-      return fits ? new Stops(chosen, cost) : null;
+      return fits ? new PreemptionOption(chosen, cost) : null;
     }
 
     /**
-     * Whether a task may be stopped for the demand: production work stops anything below it.
+     * Whether a task may be stopped for the demand; production work may stop any task below it.
      *
-     * @param chosen what is chosen on this machine already
+     * @param chosen the victims chosen on this machine so far
      */
     private boolean mayStop(UnmetDemand demand, Victim victim, List<Victim> chosen) {
       return demand.spec().priority() == JobSpec.Priority.PRODUCTION
-          || isGuestThatYields(demand, victim, chosen)
-          || demand.standing().reclaims() && isBorrowed(demand, victim, chosen);
+          || isPreemptibleWithoutGuarantee(demand, victim, chosen)
+          || demand.entitlement().mayReclaim() && exceedsGuarantee(demand, victim, chosen);
     }
 
     /**
-     * Whether the task is a guest's, saves its work, and is of lower priority or in the way of a
-     * guarantee. Each of a guest's jobs keeps a task, and each start its first half minute, or a
-     * job that has begun would count as one that has not.
+     * Whether the task is of a team without guarantee, saves checkpoints, and is of lower priority
+     * or takes capacity that the demand is guaranteed. Each job of such a team keeps a task, and no
+     * task is stopped in its first half minute, or a started job would count as not started.
      */
-    private boolean isGuestThatYields(UnmetDemand demand, Victim victim, List<Victim> chosen) {
-      JobSpec other = victim.spec();
-      boolean weaker =
-          demand.standing().guaranteed()
-              || demand.spec().priority().compareTo(other.priority()) < 0;
-      return weaker
-          && guests.contains(other.team())
-          && !demand.standing().guest()
-          && other.checkpoints()
-          && grantAgeS.applyAsDouble(victim.task()) > Constants.START_COUNTS_S
-          && live(other.id()) - count(chosen, v -> v.spec() == other) > 1;
+    private boolean isPreemptibleWithoutGuarantee(
+        UnmetDemand demand, Victim victim, List<Victim> chosen) {
+      JobSpec victimSpec = victim.spec();
+      boolean outranked =
+          demand.entitlement().guaranteed()
+              || demand.spec().priority().compareTo(victimSpec.priority()) < 0;
+      return outranked
+          && teamsWithoutGuarantee.contains(victimSpec.team())
+          && !demand.entitlement().teamWithoutGuarantee()
+          && victimSpec.checkpoints()
+          && grantAgeS.applyAsDouble(victim.task()) > Constants.MIN_START_RUN_S
+          && remainingLiveTasks(victimSpec.id()) - count(chosen, v -> v.spec() == victimSpec) > 1;
     }
 
-    private int live(String job) {
-      return live.computeIfAbsent(job, Preemption.this::liveTasks);
+    private int remainingLiveTasks(String job) {
+      return liveByJob.computeIfAbsent(job, Preemption.this::liveTasks);
     }
 
     /**
-     * Whether the task is beyond its team's guarantee, which may be taken back for a job that
-     * reclaims its own; no more of it than is beyond.
+     * Whether the task exceeds its team's guarantee, so that it may be stopped for a job of another
+     * team that reclaims its own guarantee. No more is taken than what exceeds the guarantee.
      */
-    private boolean isBorrowed(UnmetDemand demand, Victim victim, List<Victim> chosen) {
-      JobSpec other = victim.spec();
-      String team = other.team();
-      double taken = 0;
-      for (Victim before : chosen) {
-        taken += before.spec().team().equals(team) ? before.spec().cpus() : 0;
+    private boolean exceedsGuarantee(UnmetDemand demand, Victim victim, List<Victim> chosen) {
+      JobSpec victimSpec = victim.spec();
+      String team = victimSpec.team();
+      double chosenCpus = 0;
+      for (Victim earlier : chosen) {
+        chosenCpus += earlier.spec().team().equals(team) ? earlier.spec().cpus() : 0;
       }
-      double borrowed = usage.cpus(team) - taken - settings.team(team).cpus();
-      return !guaranteed.contains(other.id())
+      double borrowedCpus = usage.cpus(team) - chosenCpus - settings.team(team).cpus();
+      return !guaranteed.contains(victimSpec.id())
           && !team.equals(demand.spec().team())
-          && borrowed >= other.cpus() - Constants.EPS;
+          && borrowedCpus >= victimSpec.cpus() - Constants.EPS;
     }
   }
 
-  private static int count(List<Victim> victims, Predicate<Victim> which) {
-    return (int) victims.stream().filter(which).count();
+  private static int count(List<Victim> victims, Predicate<Victim> predicate) {
+    return (int) victims.stream().filter(predicate).count();
   }
 
   private int liveTasks(String job) {
@@ -292,9 +317,9 @@
         : chunks.values().stream().mapToInt(chunk -> chunk.value().live.size()).sum();
   }
 
-  private static MachineCapacity cheapest(Map<MachineCapacity, Stops> options) {
+  private static MachineCapacity cheapest(Map<MachineCapacity, PreemptionOption> options) {
     MachineCapacity best = null;
-    for (Map.Entry<MachineCapacity, Stops> entry : options.entrySet()) {
+    for (Map.Entry<MachineCapacity, PreemptionOption> entry : options.entrySet()) {
       if (best == null || entry.getValue().cost() < options.get(best).cost()) {
         best = entry.getKey();
       }
@@ -302,16 +327,19 @@
     return best;
   }
 
-  private static void put(Map<MachineCapacity, Stops> options, MachineCapacity room, Stops stops) {
-    if (stops == null) {
-      options.remove(room);
+  private static void putOrRemove(
+      Map<MachineCapacity, PreemptionOption> options,
+      MachineCapacity capacity,
+      PreemptionOption option) {
+    if (option == null) {
+      options.remove(capacity);
     } else {
-      options.put(room, stops);
+      options.put(capacity, option);
     }
   }
 
-  /** The machines on which something could be stopped. */
-  private List<MachineCapacity> machines() {
+  /** The machines on which tasks could be stopped. */
+  private List<MachineCapacity> usableMachines() {
     List<MachineCapacity> found = new ArrayList<>();
     for (StateCache.Entry<Machine> entry : view.machines.values()) {
       Machine machine = entry.value();
@@ -319,20 +347,21 @@
           machine.condition() == Machine.Condition.OK
               && !view.drains.containsKey(machine.name())
               && membership.owner(machine.part()) != null;
-      MachineCapacity room = usable ? rooms.of(machine) : null;
-      if (room != null) {
-        found.add(room);
+      MachineCapacity capacity = usable ? capacityCache.of(machine) : null;
+      if (capacity != null) {
+        found.add(capacity);
       }
     }
     return found;
   }
 
   /**
-   * What could be stopped on a machine, cheapest first; what stops already is taken off its room.
+   * The tasks that could be stopped on a machine, cheapest first. Releases the capacity of tasks
+   * that are being stopped already.
    */
-  private List<Victim> victims(MachineCapacity room) {
+  private List<Victim> candidates(MachineCapacity capacity) {
     List<Victim> found = new ArrayList<>();
-    for (TaskId task : room.machine().tasks().keySet()) {
+    for (TaskId task : capacity.machine().tasks().keySet()) {
       StateCache.Entry<Job> job = view.jobs.get(task.job());
       Progress.Live live = view.grant(task);
       if (job == null || live == null) {
@@ -340,8 +369,9 @@
       }
       JobSpec spec = job.value().spec();
       if (live.stop() || stopping.contains(task) || !job.value().open()) {
-        room.free(spec);
-      } else if (!writes.busy(task.job()) && spec.priority() != JobSpec.Priority.PRODUCTION) {
+        capacity.release(spec);
+      } else if (!writes.hasWriteInFlight(task.job())
+          && spec.priority() != JobSpec.Priority.PRODUCTION) {
         found.add(new Victim(task, spec, cost(task, spec)));
       }
     }
@@ -350,28 +380,28 @@
   }
 
   /**
-   * What stopping a task costs, in seconds: the work it loses, or the time it takes to save, in
-   * which the one that needs the room waits.
+   * Cost of stopping a task in seconds: the work it loses or, if it saves checkpoints, the weighted
+   * time of a save, during which the task that needs the capacity waits.
    */
   private double cost(TaskId task, JobSpec spec) {
     return spec.checkpoints()
-        ? Constants.SAVE_COST * spec.saveS()
+        ? Constants.SAVE_COST_FACTOR * spec.saveS()
         : Math.min(spec.estimateS(), grantAgeS.applyAsDouble(task));
   }
 
   private void stop(String job, List<Victim> victims) {
     Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leadership());
-    Map<Integer, Progress> next = new LinkedHashMap<>();
+    Map<Integer, Progress> updatedChunks = new LinkedHashMap<>();
     for (Victim victim : victims) {
       int index = victim.task().index();
       int chunk = index / Constants.CHUNK_TASKS;
-      if (next.containsKey(chunk) || next.size() < settings.state().txnOps()) {
-        Progress progress = next.computeIfAbsent(chunk, c -> view.progress(job, c).copy());
+      if (updatedChunks.containsKey(chunk) || updatedChunks.size() < settings.state().txnOps()) {
+        Progress progress = updatedChunks.computeIfAbsent(chunk, c -> view.progress(job, c).copy());
         Progress.Live live = progress.live.get(index);
         progress.live.put(index, new Progress.Live(live.attempt(), live.part(), true));
       }
     }
-    next.forEach(
+    updatedChunks.forEach(
         (chunk, progress) -> {
           String key = Keys.progress(job, chunk);
           txn.when(key, view.stamp(key)).put(key, Records.progress(progress));
@@ -382,8 +412,8 @@
         job,
         Store.Urgency.GRANT,
         txn,
-        ok -> {
-          if (!ok) {
+        succeeded -> {
+          if (!succeeded) {
             stopping.removeAll(tasks);
           }
         });
--- a/src/main/java/org/baygw/control/quota/ProgressFolding.java
+++ b/src/main/java/org/baygw/control/quota/ProgressFolding.java
@@ -16,8 +16,9 @@
 import org.baygw.control.store.Txn;
 
 /**
- * Takes ended tasks over into their jobs' progress where a partition's record grows large.
- * Elsewhere that costs no write: it comes with the job's next grant, or the job is done first.
+ * Writes ended tasks from a partition's record into the progress of their jobs where the record
+ * grows large. Elsewhere they need no write of their own: the job's next grant includes them, or
+ * the job is done first.
  */
 final class ProgressFolding {
   private final Settings settings;
@@ -31,7 +32,7 @@
     this.view = view;
     this.membership = membership;
     this.writes = writes;
-    this.limitBytes = (int) (settings.state().valueKb() * 1024 * Constants.RECORD_ENDED);
+    this.limitBytes = (int) (settings.state().valueKb() * 1024 * Constants.RECORD_ENDED_SHARE);
   }
 
   void run() {
@@ -40,8 +41,8 @@
       boolean due =
           view.jobs.containsKey(job)
               && chunks != null
-              && !writes.busy(job)
-              && writes.count() <= Constants.FOLDS;
+              && !writes.hasWriteInFlight(job)
+              && writes.writesInFlight() <= Constants.FOLD_MAX_WRITES;
       if (due) {
         Txn txn = fold(job, chunks);
         if (txn.writes() > 0) {
@@ -53,10 +54,10 @@
 
   private Set<String> jobsInLargeRecords() {
     Set<String> jobs = new LinkedHashSet<>();
-    for (Partition part : membership.partitions()) {
-      for (int i = 0; i < view.pages().count(part); i++) {
-        if (view.pages().endedBytes(part, i) > limitBytes) {
-          PartitionRecord page = view.pages().get(part, i);
+    for (Partition partition : membership.partitions()) {
+      for (int i = 0; i < view.pages().count(partition); i++) {
+        if (view.pages().endedBytes(partition, i) > limitBytes) {
+          PartitionRecord page = view.pages().get(partition, i);
           jobs.addAll(page.done().keySet());
           jobs.addAll(page.back().keySet());
         }
@@ -80,7 +81,7 @@
     return txn;
   }
 
-  private static boolean differs(Progress written, Progress now) {
-    return written.live.size() != now.live.size() || !written.done.equals(now.done);
+  private static boolean differs(Progress written, Progress current) {
+    return written.live.size() != current.live.size() || !written.done.equals(current.done);
   }
 }
--- a/src/main/java/org/baygw/control/quota/Scheduler.java
+++ b/src/main/java/org/baygw/control/quota/Scheduler.java
@@ -30,8 +30,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's scheduler: the queue of jobs. It grants tasks to partitions by durable writes; a
- * granted task counts against its team until its partition's owner has proved it gone.
+ * The job queue of the leader. It grants tasks to partitions by durable writes; a granted task
+ * counts against its team's limit until the partition's owner has proved that it has ended.
  */
 public final class Scheduler {
   private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
@@ -43,24 +43,24 @@
   private final Membership membership;
   private final Replication replication;
   private final ZoneRules zones;
-  private final CapacityCache rooms;
+  private final CapacityCache capacityCache;
   private final JobWrites writes;
   private final PartitionAvoidance avoidance;
   private final ProgressFolding folding;
   private final Preemption preemption;
 
-  /** When this scheduler granted what is live; a former one's grants count as old. */
+  /** Grant times of live tasks. A grant of a former leader without a known time counts as old. */
   private final Map<TaskId, Long> grantedAt = new HashMap<>();
 
-  /** Since when a job has had tasks without room. */
+  /** Time since which a job has had tasks without capacity. */
   private final Map<String, Long> unmetSince = new HashMap<>();
 
   private List<UnmetDemand> unmet = List.of();
   private long nextPass;
-  private long nextClean;
-  private long seenChanges = -1;
+  private long nextCleanup;
+  private long changesAtLastPass = -1;
 
-  /** The leadership's stamp under which this scheduler last worked. */
+  /** Stamp of the leader's claim under which this scheduler last worked. */
   private long epoch;
 
   public Scheduler(
@@ -77,31 +77,33 @@
     this.view = view;
     this.membership = membership;
     this.zones = new ZoneRules(settings.zones());
-    this.rooms = new CapacityCache(view);
-    this.writes = new JobWrites(store, this::passSoon);
+    this.capacityCache = new CapacityCache(view);
+    this.writes = new JobWrites(store, this::requestPass);
     this.avoidance = new PartitionAvoidance(clock, view, membership);
     this.folding = new ProgressFolding(settings, view, membership, writes);
-    this.preemption = new Preemption(settings, view, membership, rooms, writes, this::grantAgeS);
+    this.preemption =
+        new Preemption(settings, view, membership, capacityCache, writes, this::grantAgeS);
   }
 
-  /** Tasks that need machines which are not there. */
+  /** Tasks for which the latest pass found no capacity. */
   public List<UnmetDemand> unmet() {
     return unmet;
   }
 
   /**
-   * Whether nothing has changed since the pass that found them. Between a change and the next pass
-   * a machine that has just come up would count neither as on its way nor as one that has room.
+   * Whether nothing has changed since the pass that computed the unmet demand. Between a change and
+   * the next pass, a machine that has just come up would count neither as booting nor as having
+   * capacity.
    */
   public boolean unmetIsCurrent() {
-    return seenChanges == view.changes();
+    return changesAtLastPass == view.changes();
   }
 
   public int unmetTasks() {
     return unmet.stream().mapToInt(UnmetDemand::count).sum();
   }
 
-  /** Time has passed, or something has changed. */
+  /** Runs a pass if one is due; called as time passes and after each change. */
   public void tick() {
     long now = clock.now();
     if (!store.loaded() || membership.leadership() == 0) {
@@ -110,118 +112,119 @@
     }
     if (epoch != membership.leadership()) {
       epoch = membership.leadership();
-      inherit();
+      inheritQueue();
     }
     if (now < nextPass || unmetIsCurrent() && now < nextPass + Constants.SCHEDULER_IDLE_PASS_MS) {
       return;
     }
-    // A pass looks at all machines, so what passes cost a second must not grow with them.
-    long large = (long) (view.machines.size() * Constants.SCHEDULER_PASS_MS_A_MACHINE);
+    // A pass examines all machines; the added delay keeps its share of a processor bounded.
+    long machinesDelayMs = (long) (view.machines.size() * Constants.SCHEDULER_PASS_MS_PER_MACHINE);
     nextPass =
         now
-            + large
-            + (store.scarce() ? Constants.SCHEDULER_SCARCE_MS : Constants.SCHEDULER_PASS_MS);
-    seenChanges = view.changes();
+            + machinesDelayMs
+            + (store.scarce() ? Constants.SCHEDULER_SCARCE_PASS_MS : Constants.SCHEDULER_PASS_MS);
+    changesAtLastPass = view.changes();
     new Pass().run();
   }
 
-  /** Takes over what the former leader knew of waiting jobs and grants. */
-  private void inherit() {
-    Replication.InheritedQueue known = replication.inheritedQueue();
-    if (known == null) {
+  /** Takes over the former leader's times of waiting jobs and of grants. */
+  private void inheritQueue() {
+    Replication.InheritedQueue inherited = replication.inheritedQueue();
+    if (inherited == null) {
       return;
     }
     long now = clock.now();
-    known.waitingForMs().forEach((job, ms) -> unmetSince.putIfAbsent(job, now - ms));
-    known.grantedAgoMs().forEach((task, ms) -> grantedAt.putIfAbsent(task, now - ms));
+    inherited.waitingForMs().forEach((job, ms) -> unmetSince.putIfAbsent(job, now - ms));
+    inherited.grantedAgoMs().forEach((task, ms) -> grantedAt.putIfAbsent(task, now - ms));
   }
 
-  private void passSoon() {
+  private void requestPass() {
     nextPass = 0;
-    seenChanges = -1;
+    changesAtLastPass = -1;
   }
 
   private double grantAgeS(TaskId task) {
-    Long at = grantedAt.get(task);
-    return at == null ? Double.POSITIVE_INFINITY : (clock.now() - at) / 1000.0;
+    Long grantedMs = grantedAt.get(task);
+    return grantedMs == null ? Double.POSITIVE_INFINITY : (clock.now() - grantedMs) / 1000.0;
   }
 
   /** One pass over all unfinished jobs. */
   private final class Pass {
     private final TeamUsage usage = new TeamUsage(settings.teams());
 
-    /** CPUs that each team's unfinished jobs ask for, up to the job that is looked at. */
-    private final Map<String, Double> demand = new HashMap<>();
+    /** CPUs that each team's unfinished jobs request, up to and including the current job. */
+    private final Map<String, Double> requestedCpus = new HashMap<>();
 
-    /** Unfinished jobs that fit into their team's guarantee together with its earlier ones. */
+    /** Unfinished jobs that fit into their team's guarantee together with its earlier jobs. */
     private final Set<String> guaranteed = new HashSet<>();
 
     private final List<QueuedJob> queue = new ArrayList<>();
 
-    /** Shapes of tasks that found no room in this pass. */
-    private final Set<String> full = new HashSet<>();
+    /** Shapes of tasks that found no capacity in this pass. */
+    private final Set<String> unplaceableShapes = new HashSet<>();
 
-    private final List<UnmetDemand> left = new ArrayList<>();
-    private FreeCapacity free;
+    private final List<UnmetDemand> unmetInPass = new ArrayList<>();
+    private FreeCapacity freeCapacity;
 
     void run() {
       List<StateCache.Entry<Job>> jobs = new ArrayList<>(view.active.values());
       jobs.sort(
           Comparator.comparing((StateCache.Entry<Job> job) -> job.value().acceptedMs())
               .thenComparing(job -> job.value().spec().id()));
-      jobs.forEach(this::add);
+      jobs.forEach(this::addJob);
       folding.run();
       avoidance.update();
       queue.sort(QueuedJob.ORDER);
-      free = new FreeCapacity(settings, view, membership, rooms, writes, zones);
-      queue.forEach(this::serve);
-      forgetOld();
-      preemption.run(left, usage, guaranteed);
-      unmet = left;
+      freeCapacity = new FreeCapacity(settings, view, membership, capacityCache, writes, zones);
+      queue.forEach(this::schedule);
+      removeOutdated();
+      preemption.run(unmetInPass, usage, guaranteed);
+      unmet = unmetInPass;
     }
 
-    /** Counts what a job has, and queues it if tasks of it wait. */
-    private void add(StateCache.Entry<Job> entry) {
+    /** Adds a job to its team's usage, and queues it if it has tasks that wait for a grant. */
+    private void addJob(StateCache.Entry<Job> entry) {
       Job job = entry.value();
       JobSpec spec = job.spec();
       TreeMap<Integer, StateCache.Entry<Progress>> chunks =
           view.progress.getOrDefault(spec.id(), new TreeMap<>());
       int live = 0;
       int done = 0;
-      int[] zoneLive = zones.none();
+      int[] liveByZone = zones.emptyCounts();
       for (StateCache.Entry<Progress> chunk : chunks.values()) {
         live += chunk.value().live.size();
         done += chunk.value().done.cardinality();
         if (spec.spread() || spec.oneZone()) {
-          zones.count(chunk.value(), zoneLive);
+          zones.addLive(chunk.value(), liveByZone);
         }
       }
-      usage.add(spec, live + writes.granting(spec.id()));
-      boolean busy = writes.busy(spec.id());
+      usage.add(spec, live + writes.grantsInFlight(spec.id()));
+      boolean writeInFlight = writes.hasWriteInFlight(spec.id());
       if (!job.open()) {
-        if (live == 0 && !chunks.isEmpty() && !busy) {
-          clean(spec.id(), chunks);
+        if (live == 0 && !chunks.isEmpty() && !writeInFlight) {
+          deleteProgress(spec.id(), chunks);
         }
       } else if (done == spec.tasks()) {
-        if (!busy) {
-          finish(spec.id(), entry);
+        if (!writeInFlight) {
+          markDone(spec.id(), entry);
         }
       } else if (settings.team(spec.team()) != null) {
-        noteGuarantee(spec, done);
-        if (done + live < spec.tasks() && !busy) {
-          queue.add(queued(entry, live, done, zoneLive));
+        updateGuaranteed(spec, done);
+        if (done + live < spec.tasks() && !writeInFlight) {
+          queue.add(queuedJob(entry, live, done, liveByZone));
         }
       }
     }
 
-    private void noteGuarantee(JobSpec spec, int done) {
-      double sum = demand.merge(spec.team(), (spec.tasks() - done) * spec.cpus(), Double::sum);
-      if (sum <= settings.team(spec.team()).cpus() + Constants.EPS) {
+    private void updateGuaranteed(JobSpec spec, int done) {
+      double teamCpus =
+          requestedCpus.merge(spec.team(), (spec.tasks() - done) * spec.cpus(), Double::sum);
+      if (teamCpus <= settings.team(spec.team()).cpus() + Constants.EPS) {
         guaranteed.add(spec.id());
       }
     }
 
-    private QueuedJob queued(StateCache.Entry<Job> entry, int live, int done, int[] zoneLive) {
+    private QueuedJob queuedJob(StateCache.Entry<Job> entry, int live, int done, int[] liveByZone) {
       Job job = entry.value();
       JobSpec spec = job.spec();
       return new QueuedJob(
@@ -232,65 +235,67 @@
           !settings.team(spec.team()).hasGuarantee(),
           guaranteed.contains(spec.id()),
           live + done == 0 ? clock.wall() - job.acceptedMs() : 0,
-          missedAims(job),
+          missedObjectives(job),
           (spec.tasks() - done) * spec.cpus() * spec.estimateS(),
           spec.tasks() - done - live,
-          zoneLive);
+          liveByZone);
     }
 
-    /** Grants as many of a job's tasks as its team's limit and the room allow. */
-    private void serve(QueuedJob job) {
+    /** Grants as many of a job's tasks as its team's limit and the free capacity allow. */
+    private void schedule(QueuedJob job) {
       JobSpec spec = job.spec();
       int allowed = usage.allowed(settings.team(spec.team()), spec, job.pending());
       if (allowed <= 0) {
         return;
       }
-      int[] zoneLive = job.zoneLive().clone();
-      String shape = shape(spec, zones.only(spec, zoneLive));
-      Grants grants = new Grants(job, zoneLive, allowed);
-      boolean noRoom = full.contains(shape) || !grants.fill(free);
-      if (noRoom && !spec.service() && !spec.spread() && !spec.oneZone()) {
-        full.add(shape);
+      int[] liveByZone = job.liveByZone().clone();
+      String shape = shape(spec, zones.requiredZone(spec, liveByZone));
+      JobGrant grant = new JobGrant(job, liveByZone, allowed);
+      boolean outOfCapacity = unplaceableShapes.contains(shape) || !grant.grantTasks(freeCapacity);
+      if (outOfCapacity && !spec.service() && !spec.spread() && !spec.oneZone()) {
+        unplaceableShapes.add(shape);
       }
-      usage.add(spec, grants.count);
-      if (noRoom && grants.count < allowed) {
-        long waitedMs = noteUnmet(job, allowed - grants.count, zoneLive);
+      usage.add(spec, grant.grantedCount);
+      if (outOfCapacity && grant.grantedCount < allowed) {
+        long waitedMs = recordUnmet(job, allowed - grant.grantedCount, liveByZone);
         if (waitedMs < Constants.LIMIT_RESERVED_MS) {
-          usage.add(spec, allowed - grants.count); // what is rented for must also be allowed to run
+          // Machines are rented for these tasks, so the limit must still allow them later.
+          usage.add(spec, allowed - grant.grantedCount);
         }
       }
-      if (grants.count > 0) {
-        grants.write();
+      if (grant.grantedCount > 0) {
+        grant.write();
       }
     }
 
-    /** Notes tasks that found no room; returns for how long the job has had such tasks. */
-    private long noteUnmet(QueuedJob job, int count, int[] zoneLive) {
+    /** Records tasks without capacity; returns for how many ms the job has had such tasks. */
+    private long recordUnmet(QueuedJob job, int count, int[] liveByZone) {
       JobSpec spec = job.spec();
       if (unmetSince.putIfAbsent(job.id(), clock.now()) == null) {
         replication.waiting(job.id());
       }
       long waitedMs = clock.now() - unmetSince.get(job.id());
       if (!spec.spread() && !spec.oneZone()) {
-        left.add(new UnmetDemand(spec, spec.zone(), count, waitedMs, job.standing()));
+        unmetInPass.add(new UnmetDemand(spec, spec.zone(), count, waitedMs, job.entitlement()));
         return waitedMs;
       }
       Map<String, Integer> byZone = new LinkedHashMap<>();
       for (int i = 0; i < count; i++) {
-        byZone.merge(zones.zoneFor(spec, zoneLive), 1, Integer::sum);
+        byZone.merge(zones.assignZone(spec, liveByZone), 1, Integer::sum);
       }
       byZone.forEach(
-          (zone, n) -> left.add(new UnmetDemand(spec, zone, n, waitedMs, job.standing())));
+          (zone, n) ->
+              unmetInPass.add(new UnmetDemand(spec, zone, n, waitedMs, job.entitlement())));
       return waitedMs;
     }
 
-    private void forgetOld() {
-      if (clock.now() >= nextClean) {
-        nextClean = clock.now() + Constants.SCHEDULER_CLEAN_MS;
-        forgetGrants();
+    private void removeOutdated() {
+      if (clock.now() >= nextCleanup) {
+        nextCleanup = clock.now() + Constants.SCHEDULER_CLEANUP_MS;
+        removeEndedGrants();
       }
       Set<String> waiting = new HashSet<>();
-      left.forEach(demand -> waiting.add(demand.spec().id()));
+      unmetInPass.forEach(demand -> waiting.add(demand.spec().id()));
       for (Iterator<String> it = unmetSince.keySet().iterator(); it.hasNext(); ) {
         String job = it.next();
         if (!waiting.contains(job)) {
@@ -300,14 +305,14 @@
       }
     }
 
-    private void forgetGrants() {
-      Map<String, List<Integer>> over = new HashMap<>();
+    private void removeEndedGrants() {
+      Map<String, List<Integer>> ended = new HashMap<>();
       for (TaskId task : grantedAt.keySet()) {
-        if (view.grant(task) == null && !writes.busy(task.job())) {
-          over.computeIfAbsent(task.job(), k -> new ArrayList<>()).add(task.index());
+        if (view.grant(task) == null && !writes.hasWriteInFlight(task.job())) {
+          ended.computeIfAbsent(task.job(), k -> new ArrayList<>()).add(task.index());
         }
       }
-      over.forEach(
+      ended.forEach(
           (job, tasks) -> {
             tasks.forEach(index -> grantedAt.remove(new TaskId(job, index)));
             replication.grantsEnded(job, tasks);
@@ -315,60 +320,68 @@
     }
   }
 
-  /** The tasks of one job that one pass grants. */
-  private final class Grants {
+  /** The tasks of one job that are granted in one pass. */
+  private final class JobGrant {
     private final QueuedJob job;
-    private final int[] zoneLive;
+    private final int[] liveByZone;
     private final int allowed;
-    private final Map<Integer, Progress> next = new LinkedHashMap<>();
-    private final Map<Partition, Integer> partitions = new HashMap<>();
-    private final List<Integer> granted = new ArrayList<>();
-    private int count;
+    private final Map<Integer, Progress> updatedChunks = new LinkedHashMap<>();
+    private final Map<Partition, Integer> tasksByPartition = new HashMap<>();
+    private final List<Integer> grantedIndexes = new ArrayList<>();
+    private int grantedCount;
 
-    Grants(QueuedJob job, int[] zoneLive, int allowed) {
+    JobGrant(QueuedJob job, int[] liveByZone, int allowed) {
       this.job = job;
-      this.zoneLive = zoneLive;
+      this.liveByZone = liveByZone;
       this.allowed = allowed;
     }
 
-    /** Grants what there is room for; false if that ran out. */
-    boolean fill(FreeCapacity free) {
+    /** Grants tasks as far as limits and capacity allow; false only if capacity ran out. */
+    boolean grantTasks(FreeCapacity freeCapacity) {
       JobSpec spec = job.spec();
-      FreeCapacity.Place place = null;
+      FreeCapacity.Candidate candidate = null;
       for (int chunk = 0; chunk * Constants.CHUNK_TASKS < spec.tasks(); chunk++) {
-        if (next.size() >= settings.state().txnOps() / 2) {
+        if (updatedChunks.size() >= settings.state().txnOps() / 2) {
           return true;
         }
-        Progress now = view.progress(job.id(), chunk);
+        Progress current = view.progress(job.id(), chunk);
         int end = Math.min(spec.tasks(), (chunk + 1) * Constants.CHUNK_TASKS);
         for (int i = chunk * Constants.CHUNK_TASKS; i < end; i++) {
-          if (now != null && (now.done.get(i) || now.live.containsKey(i))) {
+          if (current != null && (current.done.get(i) || current.live.containsKey(i))) {
             continue;
           }
-          if (count >= allowed) {
+          if (grantedCount >= allowed) {
             return true;
           }
-          boolean again =
-              place != null && !spec.service() && !spec.spread() && place.room().fits(spec);
-          place = again ? place : free.roomiest(spec, zoneLive, avoidance.of(job.id()));
-          if (place == null) {
+          boolean reuse =
+              candidate != null
+                  && !spec.service()
+                  && !spec.spread()
+                  && candidate.capacity().fits(spec);
+          candidate =
+              reuse
+                  ? candidate
+                  : freeCapacity.findCandidate(
+                      spec, liveByZone, avoidance.avoidedPartitions(job.id()));
+          if (candidate == null) {
             return false;
           }
-          add(chunk, now, i, place);
+          add(chunk, current, i, candidate);
         }
       }
       return true;
     }
 
-    private void add(int chunk, Progress now, int index, FreeCapacity.Place place) {
-      place.room().take(job.spec());
-      next.computeIfAbsent(chunk, k -> now == null ? new Progress() : now.copy())
-          .grant(index, place.part());
-      partitions.merge(place.part(), 1, Integer::sum);
+    private void add(int chunk, Progress current, int index, FreeCapacity.Candidate candidate) {
+      candidate.capacity().reserve(job.spec());
+      updatedChunks
+          .computeIfAbsent(chunk, k -> current == null ? new Progress() : current.copy())
+          .grant(index, candidate.partition());
+      tasksByPartition.merge(candidate.partition(), 1, Integer::sum);
       grantedAt.put(new TaskId(job.id(), index), clock.now());
-      granted.add(index);
-      zoneLive[zones.index(place.part().zone())]++;
-      count++;
+      grantedIndexes.add(index);
+      liveByZone[zones.indexOf(candidate.partition().zone())]++;
+      grantedCount++;
     }
 
     void write() {
@@ -376,27 +389,27 @@
           new Txn()
               .when(Keys.claim(Keys.LEADER), membership.leadership())
               .when(Keys.job(job.id()), job.stamp());
-      next.forEach(
+      updatedChunks.forEach(
           (chunk, progress) -> {
             String key = Keys.progress(job.id(), chunk);
             txn.when(key, view.stamp(key)).put(key, Records.progress(progress));
           });
-      LOG.debug("grant {} tasks of {}", count, job.id());
-      replication.granted(job.id(), granted);
-      writes.grant(job.id(), partitions, txn);
+      LOG.debug("granting {} tasks of job {}", grantedCount, job.id());
+      replication.granted(job.id(), grantedIndexes);
+      writes.grant(job.id(), tasksByPartition, txn);
     }
   }
 
-  /** How many of its class's aims the job would miss even if it started now. */
-  private int missedAims(Job job) {
+  /** Number of its class's objectives that the job would miss even if it started now. */
+  private int missedObjectives(Job job) {
     double ageS = (clock.wall() - job.acceptedMs()) / 1000.0;
     int missed = 0;
-    for (Settings.Objective aim : settings.objectives()) {
-      if (aim.jobClass().equals(job.spec().jobClass())) {
-        double withinS = aim.withinS();
-        if (aim.times() > 0) {
+    for (Settings.Objective objective : settings.objectives()) {
+      if (objective.jobClass().equals(job.spec().jobClass())) {
+        double withinS = objective.withinS();
+        if (objective.times() > 0) {
           Double deadlineS = job.spec().deadlineS();
-          withinS = deadlineS == null ? 0 : deadlineS * aim.times();
+          withinS = deadlineS == null ? 0 : deadlineS * objective.times();
         }
         missed += withinS > 0 && ageS + job.spec().estimateS() > withinS ? 1 : 0;
       }
@@ -405,9 +418,10 @@
   }
 
   /**
-   * What a job asks for of a machine: where one found no room, its like need not look in this pass.
+   * Resources and constraints of a job's tasks. If a job finds no capacity, other jobs of the same
+   * shape need not be tried in this pass.
    */
-  private static String shape(JobSpec spec, String onlyZone) {
+  private static String shape(JobSpec spec, String requiredZone) {
     return spec.cpus()
         + " "
         + spec.gpus()
@@ -418,10 +432,10 @@
         + " "
         + spec.types()
         + " "
-        + onlyZone;
+        + requiredZone;
   }
 
-  private void finish(String id, StateCache.Entry<Job> job) {
+  private void markDone(String id, StateCache.Entry<Job> job) {
     writes.write(
         id,
         Store.Urgency.LAUNCH,
@@ -431,8 +445,8 @@
             .put(Keys.job(id), Records.job(job.value().done())));
   }
 
-  /** A job that is over and has no task left needs no progress. */
-  private void clean(String id, TreeMap<Integer, StateCache.Entry<Progress>> chunks) {
+  /** Deletes the progress of an ended job that has no live tasks. */
+  private void deleteProgress(String id, TreeMap<Integer, StateCache.Entry<Progress>> chunks) {
     Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leadership());
     for (Integer chunk : chunks.keySet()) {
       if (txn.writes() < settings.state().txnOps()) {
--- a/src/main/java/org/baygw/control/quota/TeamUsage.java
+++ b/src/main/java/org/baygw/control/quota/TeamUsage.java
@@ -7,7 +7,7 @@
 import org.baygw.control.config.Settings;
 import org.baygw.control.model.JobSpec;
 
-/** What each team's live tasks take, changed during a pass as tasks are granted or stopped. */
+/** CPUs and GPUs of each team's live tasks, updated in a pass as tasks are granted or stopped. */
 final class TeamUsage {
   private static final class Amounts {
     double cpus;
@@ -22,7 +22,7 @@
     }
   }
 
-  /** Counts so many tasks of a job, or takes them off where the number is negative. */
+  /** Adds a number of tasks of a job to its team's usage; a negative number subtracts them. */
   void add(JobSpec spec, int tasks) {
     Amounts amounts = byTeam.get(spec.team());
     if (amounts != null) {
@@ -35,14 +35,16 @@
     return byTeam.get(team).cpus;
   }
 
-  /** How many of the wanted tasks the team's limit allows. */
+  /** Number of the wanted tasks that the team's limit allows. */
   int allowed(Settings.Team team, JobSpec spec, int wanted) {
     Amounts amounts = byTeam.get(team.name());
-    int byCpus = atMost(wanted, team.cpusMax() - amounts.cpus, spec.cpus());
-    return atMost(byCpus, team.gpusMax() - amounts.gpus, spec.gpus());
+    int byCpus = limit(wanted, team.cpusMax() - amounts.cpus, spec.cpus());
+    return limit(byCpus, team.gpusMax() - amounts.gpus, spec.gpus());
   }
 
-  private static int atMost(int wanted, double free, double each) {
-    return each <= 0 ? wanted : (int) Math.min(wanted, Math.floor((free + Constants.EPS) / each));
+  private static int limit(int wanted, double available, double perTask) {
+    return perTask <= 0
+        ? wanted
+        : (int) Math.min(wanted, Math.floor((available + Constants.EPS) / perTask));
   }
 }
--- a/src/main/java/org/baygw/control/quota/ZoneRules.java
+++ b/src/main/java/org/baygw/control/quota/ZoneRules.java
@@ -4,7 +4,7 @@
 import org.baygw.control.model.JobSpec;
 import org.baygw.control.model.Progress;
 
-/** Where a job's tasks may be, given how many of them are live in each zone. */
+/** The zones in which a job's tasks may run, given the number of its live tasks in each zone. */
 final class ZoneRules {
   private final List<String> zones;
 
@@ -12,33 +12,33 @@
     this.zones = zones;
   }
 
-  /** No live task in any zone yet. */
-  int[] none() {
+  /** Counts of live tasks per zone, all zero. */
+  int[] emptyCounts() {
     return new int[zones.size()];
   }
 
-  /** A zone's place in such a count, or -1 where the zone is unknown. */
-  int index(String zone) {
+  /** Index of a zone in the counts of live tasks, or -1 if the zone is unknown. */
+  int indexOf(String zone) {
     return zones.indexOf(zone);
   }
 
-  void count(Progress progress, int[] zoneLive) {
+  void addLive(Progress progress, int[] liveByZone) {
     for (Progress.Live live : progress.live.values()) {
-      int zone = index(live.part().zone());
+      int zone = indexOf(live.part().zone());
       if (zone >= 0) {
-        zoneLive[zone]++;
+        liveByZone[zone]++;
       }
     }
   }
 
-  /** The only zone in which another task may be, or null. */
-  String only(JobSpec spec, int[] zoneLive) {
+  /** The only zone in which another task may run, or null if there is no such rule. */
+  String requiredZone(JobSpec spec, int[] liveByZone) {
     if (spec.zone() != null) {
       return spec.zone();
     }
     if (spec.oneZone()) {
-      for (int zone = 0; zone < zoneLive.length; zone++) {
-        if (zoneLive[zone] > 0) {
+      for (int zone = 0; zone < liveByZone.length; zone++) {
+        if (liveByZone[zone] > 0) {
           return zones.get(zone);
         }
       }
@@ -46,27 +46,27 @@
     return null;
   }
 
-  /** Whether another task may be in the zone, which is not the wrong one. */
-  boolean hasShareLeft(JobSpec spec, int zone, int[] zoneLive) {
-    return !spec.spread() || zoneLive[zone] < spec.zoneCap();
+  /** Whether the job's limit per zone allows another task in the zone; other rules do not count. */
+  boolean isBelowZoneLimit(JobSpec spec, int zone, int[] liveByZone) {
+    return !spec.spread() || liveByZone[zone] < spec.zoneCap();
   }
 
-  /** Where a machine for the task would have to be, or null; counts the task there. */
-  String zoneFor(JobSpec spec, int[] zoneLive) {
-    String zone = only(spec, zoneLive);
+  /** The zone in which a machine for the task must be, or null for any; counts the task there. */
+  String assignZone(JobSpec spec, int[] liveByZone) {
+    String zone = requiredZone(spec, liveByZone);
     if (zone == null && (spec.spread() || spec.oneZone())) {
-      zone = zones.get(leastUsed(zoneLive));
+      zone = zones.get(leastUsed(liveByZone));
     }
     if (zone != null && zones.contains(zone)) {
-      zoneLive[index(zone)]++;
+      liveByZone[indexOf(zone)]++;
     }
     return zone;
   }
 
-  private static int leastUsed(int[] zoneLive) {
+  private static int leastUsed(int[] liveByZone) {
     int least = 0;
-    for (int zone = 1; zone < zoneLive.length; zone++) {
-      if (zoneLive[zone] < zoneLive[least]) {
+    for (int zone = 1; zone < liveByZone.length; zone++) {
+      if (liveByZone[zone] < liveByZone[least]) {
         least = zone;
       }
     }
--- a/src/main/java/org/baygw/control/workers/ConsolidationRound.java
+++ b/src/main/java/org/baygw/control/workers/ConsolidationRound.java
@@ -160,7 +160,7 @@
                               spec, machine.type(), machine.zone(), machine.spot())
                           // A replica is down while its image is fetched.
                           && (!spec.service() || cached.cached(machine.name(), spec.image()))
-                          && (!spec.service() || !capacities.get(target).holds(spec.id()))
+                          && (!spec.service() || !capacities.get(target).hasTaskOf(spec.id()))
                           && (!spec.spread()
                               || machine.zone().equals(capacities.get(host).machine().zone()));
             }
@@ -249,17 +249,17 @@
 
   private Map<TaskId, String> finishSearch(long now) {
     Map<TaskId, String> placed = new LinkedHashMap<>();
-    int[] best = search.best();
+    int[] best = search.bestPlacement();
     if (search.improved()) {
       improvedRounds++;
       for (int item = 0; item < best.length; item++) {
-        if (search.current(item) < 0 && best[item] >= 0) {
+        if (search.currentHost(item) < 0 && best[item] >= 0) {
           placed.put(tasks.get(item), machines.get(best[item]));
-        } else if (best[item] >= 0 && best[item] != search.current(item)) {
+        } else if (best[item] >= 0 && best[item] != search.currentHost(item)) {
           moves.put(
               tasks.get(item),
               new Move(
-                  machines.get(search.current(item)),
+                  machines.get(search.currentHost(item)),
                   machines.get(best[item]),
                   now + Constants.MOVE_PLAN_TTL_MS));
           plannedMoves++;
--- a/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
+++ b/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
@@ -127,7 +127,7 @@
         }
       }
       if (capacity != null) {
-        capacity.take(spec);
+        capacity.reserve(spec);
         lastCapacity = capacity;
         lastJob = task.job();
         String name = capacity.machine().name();
@@ -169,7 +169,7 @@
       MachineCapacity capacity = freeCapacity(worker, entry.value());
       if (capacity != null) {
         for (TaskId task : incoming.getOrDefault(name, List.of())) {
-          capacity.take(view.jobs.get(task.job()).value().spec());
+          capacity.reserve(view.jobs.get(task.job()).value().spec());
         }
         capacities.add(capacity);
       }
@@ -200,7 +200,8 @@
             && !machine.tasks().containsKey(reported.getKey())) {
           StateCache.Entry<Job> jobEntry = view.jobs.get(reported.getKey().job());
           if (jobEntry != null) {
-            capacity.take(jobEntry.value().spec()); // not in the record, but running until killed
+            capacity.reserve(
+                jobEntry.value().spec()); // not in the record, but running until killed
           }
         }
       }
@@ -233,7 +234,7 @@
       if (!candidate.fits(spec) || failures.avoidsMachine(spec.id(), candidate.machine().name())) {
         continue;
       }
-      if (best == null || candidate.better(best, spec)) {
+      if (best == null || candidate.isBetterThan(best, spec)) {
         best = candidate;
       }
     }
