--- a/src/main/java/org/baygw/control/membership/CancellationWatermark.java
+++ b/src/main/java/org/baygw/control/membership/CancellationWatermark.java
@@ -8,12 +8,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Up to when this controller knows of every cancellation that any controller may have told a user
- * of, and whether that is recent enough to renew a worker's lease. A worker whose report is
- * answered now may keep a task for a lease from now; a cancellation that is not known here was
- * confirmed after the watermark. So while a report is answered with 200 only with a watermark at
- * most {@code cancel_s − lease_s − margin} old, every task of a cancelled job is gone in time even
- * if no kill ever reaches it.
+ * The time up to which this controller knows every cancellation that any controller may have
+ * confirmed to a user. A cancellation unknown here was confirmed after the watermark, and a worker
+ * whose report is answered now may run a task for one more lease. Answering reports with 200 only
+ * while the watermark is at most {@code cancel_s − lease_s − margin} old therefore ends every task
+ * of a cancelled job in time, even if no kill order ever reaches the worker.
  */
 public final class CancellationWatermark {
   private static final Logger LOG = LoggerFactory.getLogger(CancellationWatermark.class);
@@ -32,34 +31,36 @@
     this.maxAgeMs = settings.workers().watermarkMs();
     if (maxAgeMs < Constants.WATERMARK_TIGHT_MS) {
       LOG.warn(
-          "cancel_s leaves {} ms beyond a lease: reports are answered only with knowledge younger than"
-              + " that, so tasks may end with their leases",
+          "cancel_s exceeds lease_s by only {} ms after margins: worker leases are renewed only while"
+              + " knowledge of cancellations is more recent, so ordinary delays may end tasks",
           maxAgeMs);
     }
   }
 
-  /** Whether the copy of the state service has been made current within a hold's life. */
+  /** Whether the state cache was brought up to date within the last membership lease term. */
   public boolean copyIsCurrent() {
     return store.currentAsOf() >= longAgo();
   }
 
-  /** Whether a worker's lease may be renewed now. */
+  /** Whether the watermark is recent enough to renew a worker's lease. */
   public boolean recent() {
     return clock.now() - knownUntil() <= maxAgeMs;
   }
 
   /**
-   * Whether another controller may have taken this one's claims over: the copy has not been current
-   * for a hold's life, and it is not an outage as far as most controllers can tell. An answer after
-   * a long silence is no reason yet: the copy may still lack the takeover.
+   * Whether another controller may have taken over this one's claims: the state cache has not been
+   * up to date within a membership lease term, and the state service is not out for the majority. A
+   * single answer after a long silence does not rule out a takeover, because the cache may still
+   * lack it.
    */
   public boolean mayBeReplaced() {
     return !copyIsCurrent() && !outageForMost();
   }
 
   /**
-   * Whether the state service is out for this controller and most of the others, none of which
-   * fares better: then no claim changes hands.
+   * Whether the state service is out for this controller and, as far as it can tell, for a majority
+   * of controllers: most are alive and none reached the service after this one lost it. No claim
+   * changes hands in such an outage.
    */
   public boolean outageForMost() {
     int lives = 1;
@@ -72,8 +73,9 @@
   }
 
   /**
-   * Whether a controller can be sure of its claims as far as this one can tell: it has lately told
-   * of itself, and the state service did not turn away from it alone before it was out for all.
+   * Whether a controller can rely on its claims as far as this one can tell: it
+   * acknowledged a status recently, and the state service did not refuse it alone before the outage
+   * began for all.
    */
   public boolean acts(String label) {
     return label.equals(settings.label()) || lives(label) && !peers.behind(label);
--- a/src/main/java/org/baygw/control/membership/Membership.java
+++ b/src/main/java/org/baygw/control/membership/Membership.java
@@ -21,9 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which controllers live, who owns which partition, and who leads. A claim's stamp fences every
- * durable change made under it; the membership lease behind it only decides when others may try to
- * take over.
+ * The live controllers, the owner of each partition and the leader. A claim's stamp fences every
+ * durable change made under it; the membership lease behind the claim only decides when other
+ * controllers may try to take over.
  */
 public final class Membership {
   private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
@@ -37,25 +37,25 @@
   private List<Partition> partitions = List.of();
   private final Map<String, Long> firstSeen = new HashMap<>();
 
-  /** Claims that are known to be over though the copy still has them, by their stamps. */
+  /** Stamps of claims that are known to have ended although the state cache still has them. */
   private final Map<String, Long> overtaken = new HashMap<>();
 
-  /** Whether the leader's successor is sought in another zone than the leader's. */
+  /** Whether the leader's successor is preferably chosen from another zone than the leader's. */
   private final boolean spreadsLeader;
 
-  /** The zone of the latest leader that this controller has seen; empty before. */
+  /** The zone of the latest leader that this controller has seen; empty before the first one. */
   private String leaderZone = "";
 
-  /** Since when the copy has had no leader; 0 where it has one. */
+  /** Steady time since which the state cache has had no leader; 0 while it has one. */
   private long leaderlessSince;
 
   private long nextClaim;
   private boolean claiming;
 
   /**
-   * Makes the membership of this controller.
+   * Creates the membership of this controller.
    *
-   * @param spreadsLeader whether the leader's successor is sought in another zone than the leader's
+   * @param spreadsLeader whether the leader's successor is preferably chosen from another zone
    */
   public Membership(
       Clock clock, Settings settings, Store store, StateCache view, boolean spreadsLeader) {
@@ -68,7 +68,7 @@
     this.assignment = new PartitionAssignment(settings, view);
   }
 
-  /** All partitions; none until it is durable how many there are. */
+  /** All partitions; empty until the number of partitions per zone has been stored. */
   public List<Partition> partitions() {
     int zones = settings.zones().size();
     if (partitions.size() != view.partitionsPerZone() * zones) {
@@ -78,8 +78,9 @@
   }
 
   /**
-   * The claim's stamp if this process holds it, else 0. A claim counts only once the view has
-   * reached it: before that, the last writes of its former holder could be missing from the view.
+   * The stamp of the role's claim if this process holds it, else 0. A claim counts only once the
+   * state cache has reached its revision: until then the last writes of the former holder may be
+   * missing from the cache.
    */
   public long owned(String role) {
     StateCache.Entry<StateCache.Claim> claim = view.claims.get(role);
@@ -93,12 +94,15 @@
   }
 
   /**
-   * A worker of the partition has shown a newer claim's token: whatever this controller's copy
-   * says, which the state service may refuse to renew, its own claim is over.
+   * Records that a worker of the partition presented a token of a newer claim. This controller's
+   * own claim has then ended, whatever its state cache says: the cache may be out of date because
+   * the state service refuses this controller.
+   *
+   * @param stamp the stamp of this controller's claim
    */
   public void overtaken(Partition partition, long stamp) {
     if (overtaken.merge(partition.toString(), stamp, Math::max) == stamp) {
-      LOG.info("{} has passed to another controller", partition);
+      LOG.info("partition {} was taken over by another controller", partition);
     }
   }
 
@@ -110,12 +114,12 @@
     return owned(Keys.LEADER);
   }
 
-  /** The claim of a role as the copy has it, or null. */
+  /** The claim of a role in the state cache, or null. */
   public StateCache.Entry<StateCache.Claim> claim(String role) {
     return view.claims.get(role);
   }
 
-  /** The names of all roles: the leader's and the partitions'. */
+  /** The names of all roles: the leader and each partition. */
   public List<String> roles() {
     List<String> roles = new ArrayList<>(partitions().size() + 1);
     roles.add(Keys.LEADER);
@@ -128,14 +132,14 @@
     return roles().stream().anyMatch(role -> owned(role) != 0);
   }
 
-  /** The steady time until which this controller's membership lease certainly lives. */
+  /** The steady time until which this controller's membership lease is guaranteed to be valid. */
   public long leaseValidUntil() {
     return lease.validUntil();
   }
 
   /**
-   * The controller that takes the role if its present holder goes, by the same rules by which
-   * claims are taken; null where there is no other.
+   * The controller that would claim the role if its current holder left, by the rules by which
+   * claims are taken; null if there is no other controller.
    */
   public String successor(String role) {
     StateCache.Entry<StateCache.Claim> claim = view.claims.get(role);
@@ -155,26 +159,26 @@
     Set<String> staying = staying(controllers);
     Set<String> elsewhere = new HashSet<>(staying);
     elsewhere.removeIf(label -> assignment.zoneOf(label).equals(leaderZone));
-    // Not every controller has seen the former leader, and those that have would wait for one that
-    // has not, which waits for another. So after a moment all choose by what all see.
+    // Controllers that saw the former leader may choose a candidate that did not see it and waits
+    // for a different one. After LEADERLESS_MS all of them therefore ignore the leader's zone.
     boolean mayDisagree =
         leaderlessSince != 0 && clock.now() - leaderlessSince > Constants.LEADERLESS_MS;
     boolean spread = spreadsLeader && !mayDisagree && !leaderZone.isEmpty() && !elsewhere.isEmpty();
     return assignment.best(Keys.LEADER, "", spread ? elsewhere : staying);
   }
 
-  /** Whether the member key says that this controller is leaving. */
+  /** Whether this controller's member key marks it as leaving. */
   public boolean leaving() {
     StateCache.Entry<StateCache.Member> self = view.members.get(settings.label());
     return self != null && self.value().leaving();
   }
 
-  /** Makes it durable that this controller is leaving, or is not. */
+  /** Stores in this controller's member key whether it is leaving. */
   public void leave(boolean leaves) {
     lease.leaving(leaves);
   }
 
-  /** Whether another controller lives that stays. */
+  /** Whether another live controller is not leaving. */
   public boolean othersStay() {
     return view.members.entrySet().stream()
         .anyMatch(
@@ -183,10 +187,10 @@
   }
 
   /**
-   * Deletes this controller's claims in one conditional write, as many as it takes; the outcome is
-   * told once it is certain.
+   * Deletes this controller's claims, as many as fit into one conditional write, and reports the
+   * outcome once it is certain.
    *
-   * @return false where another write of claims is under way
+   * @return false if another write of claims is in progress
    */
   public boolean release(Consumer<Boolean> then) {
     if (claiming) {
@@ -216,12 +220,12 @@
     return true;
   }
 
-  /** Ends this controller's membership for good; to be called again until {@link #left()}. */
+  /** Ends this controller's membership permanently. Call it again until {@link #left()}. */
   public void end() {
     lease.leave();
   }
 
-  /** Whether this controller's membership is over for good. */
+  /** Whether this controller's membership has ended permanently. */
   public boolean left() {
     return lease.left();
   }
@@ -234,7 +238,7 @@
     return over ? null : claim.value().owner();
   }
 
-  /** Time has passed, or something has changed. */
+  /** Handles the passing of time and changes of the state cache. */
   public void tick() {
     long now = clock.now();
     if (store.loaded()) {
@@ -260,8 +264,8 @@
   }
 
   /**
-   * Makes the number of partitions durable, once and for all: two controllers that counted
-   * differently would look for a machine's tasks in different records.
+   * Stores the number of partitions per zone, which never changes afterwards: two controllers with
+   * different numbers would look for a machine's tasks in different records.
    */
   private void layOut() {
     claiming = true;
@@ -278,13 +282,13 @@
         });
   }
 
-  /** Whether this controller counts as one that reaches the workers of its zone. */
+  /** Whether this controller is recorded as reaching the workers of its zone. */
   public boolean reaches() {
     StateCache.Entry<StateCache.Member> self = view.members.get(settings.label());
     return self == null || self.value().reaches();
   }
 
-  /** Whether another controller of this zone counts as one that does. */
+  /** Whether another controller of this zone is recorded as reaching the zone's workers. */
   public boolean othersReach() {
     for (Map.Entry<String, StateCache.Entry<StateCache.Member>> entry : view.members.entrySet()) {
       StateCache.Member member = entry.getValue().value();
@@ -298,14 +302,14 @@
   }
 
   /**
-   * Makes it known that this controller does not reach its workers, so that others take them, or
-   * does.
+   * Stores in this controller's member key whether it reaches the workers of its zone. If it does
+   * not, others take over its partitions.
    */
   public void reaches(boolean can) {
     lease.reaches(can);
   }
 
-  /** Takes what this controller is to have and nobody holds, or else hands one partition over. */
+  /** Claims free roles that are assigned to this controller, or else hands over one partition. */
   private void claims() {
     Txn take = take();
     Txn next = take.writes() > 0 || leaving() ? take : give();
@@ -362,9 +366,10 @@
   }
 
   /**
-   * Who counts when partitions are taken. When all controllers come back together the first must
-   * not take everything, only to be overrun by all workers and to hand most of it on: for a moment
-   * those that are still to come count as well.
+   * The controllers among which partitions are divided when they are claimed. For a short time
+   * after joining, controllers that have not joined yet are included. Otherwise, when all
+   * controllers restart together, the first one would claim every partition, be overloaded by all
+   * workers, and hand most partitions over again.
    */
   private Set<String> expected() {
     Set<String> out = able(view.members.keySet());
@@ -374,7 +379,7 @@
     return out;
   }
 
-  /** Whether a zone has controllers by the settings and none of them is seen, while others are. */
+  /** Whether another zone has controllers in the settings, but none of them is a live member. */
   public boolean lost(String zone) {
     boolean some = false;
     for (Settings.Peer peer : settings.peers()) {
@@ -387,19 +392,20 @@
     return some && !settings.zone().equals(zone);
   }
 
-  /** The controller that is to have a partition which nobody holds at the moment, or null. */
+  /** The controller to which a partition without an owner is assigned, or null. */
   public String heir(Partition partition) {
     return assignment.among(able(view.members.keySet())).get(partition);
   }
 
   /**
-   * Who is likely to have a machine's partition, as far as the settings tell: a hint for workers
-   * that come before this controller has read the keys. Null where that is this controller itself.
+   * The likely owner of a machine's partition according to the settings: a hint for workers that
+   * report before this controller has read the state. Null if it is this controller.
    */
   public String likelyOwner(String machine, String zone) {
     return assignment.likelyOwner(machine, zone);
   }
 
+  /** Live controllers that have been seen long enough for partitions to be handed to them. */
   private Set<String> settled() {
     Set<String> out = new HashSet<>();
     firstSeen.forEach(
@@ -411,7 +417,10 @@
     return able(out);
   }
 
-  /** Those of them that stay and reach their workers; all that stay if none does. */
+  /**
+   * The given controllers that are not leaving and reach their workers; if none reaches its workers,
+   * all that are not leaving.
+   */
   private Set<String> able(Set<String> among) {
     Set<String> staying = staying(among);
     Set<String> out = new HashSet<>(staying);
@@ -420,7 +429,7 @@
     return out.isEmpty() ? staying : out;
   }
 
-  /** Those of them that are not leaving; all of them if all are. */
+  /** The given controllers that are not leaving; all of them if all are leaving. */
   private Set<String> staying(Set<String> among) {
     Set<String> out = new HashSet<>(among);
     out.removeIf(
--- a/src/main/java/org/baygw/control/membership/MembershipLease.java
+++ b/src/main/java/org/baygw/control/membership/MembershipLease.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's lease at the state service and the member key attached to it. The lease ends by
- * itself when it is not renewed, and the controller's claims end with it.
+ * This controller's lease at the state service and the member key attached to it. The lease expires
+ * unless it is renewed, and the controller's claims end with it.
  */
 final class MembershipLease {
   private static final Logger LOG = LoggerFactory.getLogger(MembershipLease.class);
@@ -24,19 +24,19 @@
   private final Store store;
   private final StateCache view;
 
-  /** The lease that the member key is attached to; 0 before joining and after it has run out. */
+  /** The lease that the member key is attached to; 0 before joining and after its expiry. */
   private long current;
 
-  /** A lease taken but not used yet, and when. */
+  /** A lease that was obtained but is not used yet; 0 if there is none. */
   private long prepared;
 
   private long preparedAt;
   private long joinedAt;
 
-  /** The latest lease of this controller that is known to be over. */
+  /** The latest lease of this controller that is known to have ended. */
   private long ended;
 
-  /** The steady time until which the current lease certainly lives. */
+  /** The steady time until which the current lease is guaranteed to be valid. */
   private long validUntil = Long.MIN_VALUE;
 
   private long preparedUntil;
@@ -44,7 +44,7 @@
   private boolean updating;
   private boolean leaving;
 
-  /** This controller has ended its lease and takes none any more. */
+  /** Whether this controller has ended its lease and obtains no other. */
   private boolean left;
 
   private long nextTry;
@@ -56,17 +56,20 @@
     this.view = view;
   }
 
-  /** The lease's number, or 0 where this controller has none. */
+  /** The ID of the current lease, or 0 if there is none. */
   long current() {
     return current;
   }
 
-  /** The steady time until which the lease certainly lives, whatever the state service does. */
+  /**
+   * The steady time until which the lease is guaranteed to be valid, even if the state service does
+   * not answer; {@code Long.MIN_VALUE} if there is no lease.
+   */
   long validUntil() {
     return current == 0 ? Long.MIN_VALUE : validUntil;
   }
 
-  /** Whether this controller has ended its membership for good. */
+  /** Whether this controller has ended its membership permanently. */
   boolean left() {
     return left;
   }
@@ -75,7 +78,7 @@
     return joinedAt;
   }
 
-  /** Takes a lease, joins with it and renews it, each when it is due. */
+  /** Obtains a lease, joins with it or renews it, whichever is due. */
   void tick() {
     long now = clock.now();
     if (busy || left || now < nextTry) {
@@ -83,7 +86,7 @@
     }
     if (!store.loaded()) {
       if (current == 0 && prepared == 0) {
-        prepare(); // while the keys are being read
+        prepare(); // in parallel with reading the keys
       }
     } else if (current == 0) {
       join();
@@ -95,7 +98,7 @@
   private void join() {
     StateCache.Entry<StateCache.Member> before = view.members.get(settings.label());
     if (before != null && before.value().hold() != ended) {
-      // Of this controller's former process, which has ended: its claims come free at once.
+      // The member key of this controller's former process. Ending its lease frees its claims now.
       end(before.value().hold());
       return;
     }
@@ -122,7 +125,7 @@
         });
   }
 
-  /** Takes a lease that joining will use; by itself it stands for nothing. */
+  /** Obtains a lease for joining. It has no effect until the member key is attached to it. */
   private void prepare() {
     ObjectNode ask = Json.object().put("ttlMs", Constants.HOLD_TTL_MS);
     long until = certainlyUntil();
@@ -157,7 +160,7 @@
             validUntil = preparedUntil;
             joinedAt = clock.now();
             nextTry = clock.now() + Constants.HOLD_TOUCH_MS;
-            LOG.info("joined with membership lease {}", taken);
+            LOG.info("joined the cluster with membership lease {}", taken);
           } else {
             nextTry = clock.now() + Constants.STATE_RETRY_MS;
           }
@@ -173,7 +176,7 @@
         new byte[0],
         (status, body) -> {
           if (status == 404) {
-            LOG.warn("membership lease {} has run out", renewed);
+            LOG.warn("membership lease {} expired", renewed);
             current = 0;
             ended = renewed;
           } else if (status == 200) {
@@ -184,12 +187,15 @@
         });
   }
 
-  /** How long a lease that is taken or renewed now lives at least, by this controller's clock. */
+  /**
+   * The steady time until which a lease requested or renewed now is guaranteed to be valid, allowing
+   * for clock drift.
+   */
   private long certainlyUntil() {
     return clock.now() + (long) (Constants.HOLD_TTL_MS * (1 - Constants.DRIFT));
   }
 
-  /** Ends the lease now, with all claims, and takes no other. */
+  /** Ends the lease and with it all claims, and obtains no other. */
   void leave() {
     if (busy || left) {
       return;
@@ -205,7 +211,7 @@
         (status, body) -> {
           left = status == 200 || status == 204 || status == 404;
           if (left) {
-            LOG.info("left; membership lease {} is over", current);
+            LOG.info("left the cluster; membership lease {} ended", current);
             current = 0;
           }
         });
@@ -237,15 +243,15 @@
     return leaving ? member.put("leaving", true) : member;
   }
 
-  /** Makes durable whether this controller reaches the workers of its zone. */
+  /** Stores in the member key whether this controller reaches the workers of its zone. */
   void reaches(boolean can) {
     StateCache.Entry<StateCache.Member> entry = view.members.get(settings.label());
     if (entry != null && entry.value().reaches() != can) {
-      update(entry, can, () -> LOG.info("{} its workers", can ? "reaches" : "does not reach"));
+      update(entry, can, () -> LOG.info("{} the workers of its zone", can ? "reaches" : "does not reach"));
     }
   }
 
-  /** Makes durable whether this controller is leaving, so that others take its roles. */
+  /** Stores in the member key whether this controller is leaving, so that others take its roles. */
   void leaving(boolean leaves) {
     leaving = leaves;
     StateCache.Entry<StateCache.Member> entry = view.members.get(settings.label());
@@ -253,7 +259,7 @@
       update(
           entry,
           entry.value().reaches(),
-          () -> LOG.info(leaves ? "leaves its roles to the others" : "takes roles again"));
+          () -> LOG.info(leaves ? "marked as leaving: others take its roles" : "accepts roles again"));
     }
   }
 
--- a/src/main/java/org/baygw/control/membership/PartitionAssignment.java
+++ b/src/main/java/org/baygw/control/membership/PartitionAssignment.java
@@ -12,15 +12,15 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * Who is to own which partition among a set of controllers: rendezvous hashing in which a
- * controller of the partition's zone comes first and each takes at most its even share of a zone's
- * partitions. Every controller that sees the same members computes the same assignment.
+ * Assigns partitions to a set of controllers by rendezvous hashing. Controllers of a partition's
+ * zone are preferred, and each gets at most its even share of a zone's partitions. All controllers
+ * that see the same members compute the same assignment.
  */
 final class PartitionAssignment {
   private final Settings settings;
   private final StateCache view;
 
-  /** Assignments by the controllers and zones that they were computed for. */
+  /** Cached assignments by the controllers and zones that they were computed for. */
   private final Map<Set<String>, Map<Partition, String>> known = new HashMap<>();
 
   PartitionAssignment(Settings settings, StateCache view) {
@@ -28,7 +28,7 @@
     this.view = view;
   }
 
-  /** The owner of each partition if just these controllers share them. */
+  /** The owner of each partition when the partitions are divided among these controllers. */
   Map<Partition, String> among(Set<String> controllers) {
     if (known.size() > Constants.OWNERS_KEPT) {
       known.clear();
@@ -40,8 +40,8 @@
   }
 
   /**
-   * Who is likely to own a machine's partition as far as the settings tell, for workers that come
-   * before the keys have been read. Null where that is this controller itself.
+   * The likely owner of a machine's partition according to the settings, for workers that report
+   * before the state has been read. Null if it is this controller.
    */
   String likelyOwner(String machine, String zone) {
     Set<String> all = new HashSet<>();
@@ -52,13 +52,13 @@
     return settings.label().equals(owner) ? null : owner;
   }
 
-  /** How many partitions each zone of a new deployment gets. */
+  /** The number of partitions per zone in a new deployment. */
   int initialPerZone() {
     int controllers = settings.peers().size() + 1;
     return (int) Math.ceil(controllers * Constants.PARTS_PER_CONTROLLER / settings.zones().size());
   }
 
-  /** The zone of a controller, by its member key or else by the settings; empty if unknown. */
+  /** The zone of a controller from its member key, or else the settings; empty if unknown. */
   String zoneOf(String label) {
     StateCache.Entry<StateCache.Member> member = view.members.get(label);
     if (member != null) {
@@ -102,7 +102,10 @@
     }
   }
 
-  /** The controller with the highest score for a role; those of the zone come before others. */
+  /**
+   * The controller with the highest score for a role, preferring those of the zone; null if there
+   * are none.
+   */
   String best(String role, String zone, Set<String> controllers) {
     String best = null;
     for (String label : controllers) {
--- a/src/main/java/org/baygw/control/membership/PeerStatus.java
+++ b/src/main/java/org/baygw/control/membership/PeerStatus.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What one controller tells another about itself. A hint only: nothing durable rests on it.
+ * A status message that controllers exchange. It is a hint only: no durable change depends on it.
  *
  * @param label the sender
- * @param revision of the state service that its copy has reached
- * @param stateAgeMs since the state service last answered it
- * @param cancellationsComplete whether the cancellations are all that it has told a user of, or may
- *     tell one of, beyond the revision that the receiver has
- * @param cancellations durable ones that the receiver may not know
+ * @param revision the revision of the state service that the sender's state cache has reached
+ * @param stateAgeMs time since the state service last answered the sender
+ * @param cancellationsComplete whether the list holds all cancellations after the receiver's
+ *     revision that the sender has confirmed, or may confirm, to a user
+ * @param cancellations durable cancellations that the receiver may not know
  */
 record PeerStatus(
     String label,
@@ -22,8 +22,8 @@
   /**
    * A cancelled job.
    *
-   * @param stamp the revision at which that became durable
-   * @param cancelledMs time of day at which it was written
+   * @param stamp the revision at which the cancellation became durable
+   * @param cancelledMs time of day at which the cancellation was written
    */
   record Cancellation(String job, long stamp, long cancelledMs) {}
 }
--- a/src/main/java/org/baygw/control/membership/PeerStatusCodec.java
+++ b/src/main/java/org/baygw/control/membership/PeerStatusCodec.java
@@ -10,9 +10,10 @@
 import org.apache.avro.io.EncoderFactory;
 
 /**
- * Statuses in Avro's binary encoding, field by field in the order of {@code avro/PeerStatus.avsc}.
- * Avro's generated classes read their schema at the first use, which holds a controller on a small
- * share of a processor up for seconds, just when it takes partitions over.
+ * Encodes and decodes statuses in Avro's binary format, field by field in the order of {@code
+ * avro/PeerStatus.avsc}. Avro's generated classes are not used: they parse their schema at first
+ * use, which delays a controller with a small CPU share by seconds, just when it takes over
+ * partitions.
  */
 final class PeerStatusCodec {
   static byte[] encode(PeerStatus status) {
@@ -34,12 +35,12 @@
       encoder.writeArrayEnd();
       encoder.flush();
     } catch (IOException e) {
-      throw new IllegalStateException("an array that cannot be written", e);
+      throw new IllegalStateException("writing to a byte array failed", e);
     }
     return bytes.toByteArray();
   }
 
-  /** Throws where the body is no status. */
+  /** Decodes a status; throws IOException or a RuntimeException if the body is not one. */
   static PeerStatus decode(byte[] body) throws IOException {
     BinaryDecoder decoder = DecoderFactory.get().binaryDecoder(body, null);
     String label = decoder.readString();
--- a/src/main/java/org/baygw/control/membership/Peers.java
+++ b/src/main/java/org/baygw/control/membership/Peers.java
@@ -14,15 +14,16 @@
 import org.baygw.control.store.Store;
 
 /**
- * What controllers tell each other, in Avro. Hints only for whatever is durable: they say when to
- * look at the state service again, and whether it is only this controller that it refuses.
- * Cancellations go with them, since a durable one is final and may be acted on at once; and an
- * answer acknowledges that the sibling knew of no other at the time at which it was asked.
+ * Exchanges statuses with the other controllers, encoded in Avro. For durable state they are hints
+ * only: they tell when to read from the state service again, and whether the service refuses only
+ * this controller. They also carry cancellations, since a durable cancellation is final and may be
+ * acted on at once. An answer acknowledges that the peer had confirmed no other cancellation to a
+ * user when the request was sent.
  */
 public final class Peers {
   public static final String PATH = "/peer/status";
 
-  /** A sibling's latest status. */
+  /** The latest status of a peer and the steady time of its receipt. */
   private record Seen(long at, long stateAgeMs, long revision) {}
 
   private final Clock clock;
@@ -32,10 +33,7 @@
   private final StateCache view;
   private final Map<String, Seen> seen = new HashMap<>();
 
-  /**
-   * For each sibling, the sending time of the latest request that it answered with a
-   * acknowledgement.
-   */
+  /** For each peer, the sending time of the latest request that it acknowledged. */
   private final Map<String, Long> acknowledged = new HashMap<>();
 
   private final long periodMs;
@@ -49,7 +47,7 @@
     this.settings = settings;
     this.store = store;
     this.view = view;
-    // Where a lease leaves little time, the watermark of cancellations must be drawn more often.
+    // A lease that leaves little time for cancellations requires more frequent acknowledgements.
     this.periodMs = settings.workers().watermarkPeriodMs(Constants.PEER_MS);
   }
 
@@ -73,23 +71,23 @@
           (status, body) -> {
             PeerStatus s = status == 200 ? learn(body) : null;
             if (s != null && s.cancellationsComplete() && s.label().equals(p.label())) {
-              // What it had told users of when it answered, it lists; so it holds for the sending
-              // time.
+              // The peer answered after the request was sent and listed every cancellation that it
+              // had confirmed by then, so the acknowledgement covers the sending time.
               acknowledged.merge(p.label(), now, Math::max);
             }
           });
     }
   }
 
-  /** A cancellation has become durable here: the siblings hear of it with the next clock step. */
+  /** Makes the next tick send a status early, because a cancellation has become durable here. */
   public void cancelled() {
     urgent = true;
   }
 
   /**
-   * Every cancellation that a sibling may have told a user of before this time is known here: each
-   * of them has acknowledged for it. A sibling that is gone, or has not read all keys since it
-   * started, acknowledges for nothing.
+   * The time up to which every cancellation that a peer may have confirmed to a user is known here,
+   * by the acknowledgements of all peers. A peer that is down, or has not read all keys since it
+   * started, does not acknowledge.
    */
   long acknowledgedUntil() {
     long until = clock.now();
@@ -99,26 +97,26 @@
     return until;
   }
 
-  /** The same for one sibling. */
+  /** The time up to which every cancellation that this peer may have confirmed is known here. */
   long acknowledgedUntil(String sibling) {
     return acknowledged.getOrDefault(sibling, Long.MIN_VALUE / 2);
   }
 
-  /** Another controller's message; answered with our own. */
+  /** Handles a peer's status and answers with this controller's own. */
   public void receive(long request, byte[] body) {
     PeerStatus s = learn(body);
     if (s != null) {
       out.answer(request, 200, encode(s.revision()));
     } else {
-      out.answer(request, 400, Json.bytes(Json.object().put("error", "no status")));
+      out.answer(request, 400, Json.bytes(Json.object().put("error", "not a valid status of a known controller")));
     }
   }
 
-  /** True if another controller reaches the state service while this one does not. */
+  /** Whether the state service answered another controller noticeably later than this one. */
   public boolean refusedAlone() {
-    // Compared as times, not ages: in an outage all were answered last at about the same moment,
-    // and
-    // an old status from just before it must not make that look like a refusal of this one.
+    // Compares times of the last answers, not ages: in an outage all controllers were last answered
+    // at about the same time, and an old status from just before the outage must not look as if the
+    // service refused only this controller.
     for (Seen s : seen.values()) {
       if (s.at() - s.stateAgeMs() - store.lastContact() > Constants.ALONE_MS) {
         return true;
@@ -127,19 +125,19 @@
     return false;
   }
 
-  /** True if the state service answered this controller so much later than that sibling. */
+  /** Whether the state service answered this controller noticeably later than the peer. */
   boolean behind(String sibling) {
     Seen s = seen.get(sibling);
     return s != null && store.lastContact() - s.at() + s.stateAgeMs() > Constants.ALONE_MS;
   }
 
-  /** Takes a sibling's status in; null where it is none. */
+  /** Decodes a peer's status and applies it; null if the body is not a peer's status. */
   private PeerStatus learn(byte[] body) {
     PeerStatus status;
     try {
       status = PeerStatusCodec.decode(body);
     } catch (IOException | RuntimeException e) {
-      return null; // whatever was sent, it is no status
+      return null; // not a status
     }
     if (settings.peers().stream().noneMatch(p -> p.label().equals(status.label()))) {
       return null;
@@ -154,7 +152,7 @@
     return status;
   }
 
-  /** This controller's status for a sibling whose copy has reached the revision. */
+  /** Encodes this controller's status for a peer whose state cache has reached the revision. */
   private byte[] encode(long revision) {
     List<PeerStatus.Cancellation> cancellations = new ArrayList<>();
     view.cancelledAfter(revision)
--- a/src/test/java/org/baygw/control/membership/PeerStatusCodecTest.java
+++ b/src/test/java/org/baygw/control/membership/PeerStatusCodecTest.java
@@ -18,7 +18,7 @@
 import org.apache.avro.io.EncoderFactory;
 import org.junit.jupiter.api.Test;
 
-/** The codec writes and reads what Avro does by the schema. */
+/** Checks that the codec is compatible with Avro's own encoding of the schema. */
 final class PeerStatusCodecTest {
   private static final PeerStatus STATUS =
       new PeerStatus(
@@ -30,7 +30,7 @@
               new PeerStatus.Cancellation("run-1", 77, 1_700_000_000_000L),
               new PeerStatus.Cancellation("run-\u00e9", 78, 0)));
 
-  /** The same status as Avro itself writes it by the schema file. */
+  /** Encodes a status with Avro itself and the schema file. */
   private static byte[] byAvro(PeerStatus status) throws IOException {
     Schema schema;
     try (InputStream in = PeerStatus.class.getResourceAsStream("/avro/PeerStatus.avsc")) {
