--- a/src/main/java/org/baygw/control/core/Clock.java
+++ b/src/main/java/org/baygw/control/core/Clock.java
@@ -1,16 +1,16 @@
 package org.baygw.control.core;
 
-/** The time of the input being handled; set by the shell, so the core itself reads no clock. */
+/** The time of the input being handled, set by the event loop; the core itself reads no clock. */
 public final class Clock {
   private long nowMs;
   private long wallMs;
 
-  /** Steady milliseconds. */
+  /** Steady time in milliseconds. */
   public long now() {
     return nowMs;
   }
 
-  /** Time of day in milliseconds; off by as much as the settings say. */
+  /** Time of day in milliseconds, with an error of at most the bound in the settings. */
   public long wall() {
     return wallMs;
   }
--- a/src/main/java/org/baygw/control/core/Json.java
+++ b/src/main/java/org/baygw/control/core/Json.java
@@ -17,8 +17,8 @@
 import java.util.Map;
 
 /**
- * JSON trees, read and written in one place. Jackson's streams do the reading and writing; its
- * ObjectMapper is left out, since setting one up takes a fifth of a controller's start.
+ * Reads and writes JSON trees with Jackson's streaming API. ObjectMapper is not used, because
+ * creating one takes a fifth of a controller's start-up time.
  */
 public final class Json {
   private static final int MAX_DEPTH = 64;
@@ -28,8 +28,8 @@
   private static final JsonFactory STRICT = factory(true);
 
   private static JsonFactory factory(boolean strict) {
-    // Names are not interned: most are of machines and jobs, and each costs a look-up in a table of
-    // the JVM that grows without end.
+    // Field names are not interned: most are names of machines and jobs, and each would cost a
+    // look-up in a JVM table that grows without bound.
     return JsonFactory.builder()
         .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).build())
         .configure(JsonFactory.Feature.INTERN_FIELD_NAMES, false)
@@ -37,15 +37,15 @@
         .build();
   }
 
-  /** Returns the parsed body, or a missing node where it is no JSON. */
+  /** Returns the parsed body, or a missing node if it is not valid JSON. */
   public static JsonNode parse(byte[] body) {
     return parse(LENIENT, body);
   }
 
   /**
-   * The same for what people send: an object in which a name stands twice is no JSON. Looking for
-   * that takes a set for each object, which reports and answers of the state service can do
-   * without.
+   * Parses a request from a user or an operator: like {@link #parse(byte[])}, but an object with a
+   * duplicate name is invalid as well. The check needs a set for each object, so workers' reports and
+   * answers of the state service are parsed without it.
    */
   public static JsonNode parseStrict(byte[] body) {
     return parse(STRICT, body);
@@ -59,10 +59,7 @@
     }
   }
 
-  /**
-   * Reads all that the parser has: one value, or a missing node where there is none or more than
-   * one.
-   */
+  /** Reads the parser's only value; a missing node if there is none or more than one. */
   public static JsonNode read(JsonParser parser) throws IOException {
     if (parser.nextToken() == null) {
       return MissingNode.getInstance();
@@ -71,9 +68,7 @@
     return parser.nextToken() == null ? node : MissingNode.getInstance();
   }
 
-  /**
-   * The value that begins at the parser's token; deeper nesting than MAX_DEPTH is refused there.
-   */
+  /** The value that begins at the parser's token; the parser rejects nesting beyond MAX_DEPTH. */
   private static JsonNode value(JsonParser parser) throws IOException {
     return switch (parser.currentToken()) {
       case START_OBJECT -> object(parser);
@@ -114,13 +109,13 @@
     return node;
   }
 
-  /** The tree as UTF-8 text. */
+  /** Writes the tree as UTF-8 text. */
   public static byte[] bytes(JsonNode node) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_BYTES);
     try (JsonGenerator generator = LENIENT.createGenerator(bytes)) {
       write(node, generator);
     } catch (IOException e) {
-      throw new IllegalStateException("a tree that cannot be written", e);
+      throw new IllegalStateException("writing JSON to a byte array failed", e);
     }
     return bytes.toByteArray();
   }
--- a/src/main/java/org/baygw/control/core/MetricsSink.java
+++ b/src/main/java/org/baygw/control/core/MetricsSink.java
@@ -2,11 +2,11 @@
 
 import java.util.function.DoubleSupplier;
 
-/** Where a subsystem registers what it counts. */
+/** Registers the metrics of a subsystem. */
 public interface MetricsSink {
-  /** A value that goes up and down. */
+  /** Registers a value that may rise and fall. */
   void gauge(String name, String help, DoubleSupplier value);
 
-  /** A value that only grows. */
+  /** Registers a value that only increases. */
   void counter(String name, String help, DoubleSupplier value);
 }
--- a/src/main/java/org/baygw/control/core/Outbox.java
+++ b/src/main/java/org/baygw/control/core/Outbox.java
@@ -4,32 +4,32 @@
 import java.util.List;
 
 /**
- * Collects what the core wants sent or answered while one input is handled; the shell carries it
- * out.
+ * Collects the calls and answers that the core issues while it handles one input; the event loop
+ * carries them out.
  */
 public final class Outbox {
-  /** Gets the outcome of a call. */
+  /** Receives the outcome of a call. */
   public interface Callback {
     /**
-     * @param status the HTTP status; {@link #NO_ANSWER} or {@link #NOT_SENT} where there is none
+     * @param status the HTTP status, or {@link #NO_ANSWER} or {@link #NOT_SENT}
      */
     void done(int status, byte[] body);
   }
 
-  /** The request may have been, or may still be, carried out. */
+  /** No answer arrived: the request may have been, or may still be, carried out. */
   public static final int NO_ANSWER = 0;
 
-  /** No connection was made, so the request was certainly not carried out. */
+  /** The request was not sent, so it was certainly not carried out. */
   public static final int NOT_SENT = -1;
 
-  /** Anything the core asks of the outside. */
+  /** A call or an answer that the core issues. */
   public sealed interface Effect permits Call, Answer {}
 
   /**
    * An HTTP request to another system.
    *
-   * @param orders whether it is an order to a worker, which only the active owner of its partition
-   *     may give
+   * @param orders whether the call carries orders to a worker, which only the active owner of the
+   *     worker's partition may send
    */
   public record Call(
       String addr,
@@ -42,18 +42,18 @@
       implements Effect {}
 
   /**
-   * The answer to a request that came in under this id.
+   * The answer to an incoming request.
    *
-   * @param orders as for a call
+   * @param request the ID of the request
+   * @param retryAfterS seconds of the Retry-After header; 0 for none
+   * @param orders whether the answer carries orders to a worker, as for a call
    */
   public record Answer(long request, int status, byte[] body, int retryAfterS, boolean orders)
       implements Effect {
     private static final byte[] WITHHELD =
-        Json.bytes(Json.object().put("error", "may have been replaced"));
+        Json.bytes(Json.object().put("error", "another controller may have taken over"));
 
-    /**
-     * What a worker gets in place of orders that are not to be sent: it asks another controller.
-     */
+    /** Answers a worker in place of withheld orders, so that it contacts another controller. */
     public static Answer withheld(long request) {
       return new Answer(request, 503, WITHHELD, 0, false);
     }
@@ -71,7 +71,7 @@
     effects.add(new Call(addr, "POST", path, body, timeoutMs, then, true));
   }
 
-  /** Answers a worker's report, with orders. */
+  /** Answers a worker's report with orders. */
   public void answerOrders(long request, byte[] body) {
     effects.add(new Answer(request, 200, body, 0, true));
   }
@@ -84,7 +84,7 @@
     effects.add(new Answer(request, status, body, retryAfterS, false));
   }
 
-  /** Takes what was collected. */
+  /** Removes and returns the collected effects. */
   public List<Effect> drain() {
     List<Effect> out = effects;
     effects = new ArrayList<>();
--- a/src/main/java/org/baygw/control/core/Replication.java
+++ b/src/main/java/org/baygw/control/core/Replication.java
@@ -6,20 +6,20 @@
 import org.baygw.control.model.TaskId;
 
 /**
- * What an active controller tells its standby of the decisions that live in its memory only, and
- * what a successor finds of them. All of it only makes a successor quicker: it proves nothing, and
- * where it differs from the durable record the record counts.
+ * Replicates decisions that an active controller holds only in memory to its standby, and provides
+ * them to a successor. They only speed up a takeover: nothing may rely on them, and where they
+ * differ from the durable record, the record takes precedence.
  */
 public interface Replication {
-  /** No standby: nothing is told, nothing is found. */
+  /** Used without a standby: replicates nothing and provides nothing. */
   Replication OFF = new Replication() {};
 
   /**
-   * What a former owner knew of a worker.
+   * What the former owner of a partition knew about a worker.
    *
-   * @param session the worker's session, as far as it was known
-   * @param launchedAgoMs since when the tasks that it launched there run
-   * @param failures tasks that failed there since one last completed, by job
+   * @param session the last known session of the worker
+   * @param launchedAgoMs time since the launch of each task that the former owner started there
+   * @param failures number of failed tasks by job since a task last completed there
    */
   record InheritedWorker(
       String address,
@@ -28,24 +28,28 @@
       Map<String, Integer> failures,
       boolean sick) {}
 
-  /** A kind of machine of which the cloud has no more. */
+  /**
+   * A machine type for which the cloud has no capacity.
+   *
+   * @param forMs time for which it is not requested again
+   */
   record RefusedCapacity(String type, String zone, boolean spot, long forMs) {}
 
   /**
-   * What a former leader knew of the queue.
+   * What the former leader knew about the queue.
    *
-   * @param waitingForMs since when jobs have had tasks without capacity
-   * @param grantedAgoMs since when tasks have been granted
+   * @param waitingForMs time for which each job has had tasks without capacity
+   * @param grantedAgoMs time since each task was granted
    */
   record InheritedQueue(
       Map<String, Long> waitingForMs,
       Map<TaskId, Long> grantedAgoMs,
       Collection<RefusedCapacity> refused) {}
 
-  /** The owner of the partition knows the worker's address and session. */
+  /** The owner of the partition has learnt the worker's address and session. */
   default void sessionKnown(Partition partition, String machine, String address, long session) {}
 
-  /** A launch of the task has been sent. */
+  /** A launch order for the task was sent. */
   default void launched(Partition partition, String machine, TaskId task) {}
 
   /** The task is no longer on the machine. */
@@ -54,36 +58,36 @@
   /** A task of the job failed on the machine. */
   default void failed(Partition partition, String machine, String job) {}
 
-  /** A task completed on the machine: what failed there before does not count any more. */
+  /** A task completed on the machine, which resets its count of failures. */
   default void completed(Partition partition, String machine) {}
 
-  /** The machine fails what succeeds elsewhere. */
+  /** The machine fails tasks that succeed on others. */
   default void sick(Partition partition, String machine) {}
 
   /** The machine is gone. */
   default void gone(Partition partition, String machine) {}
 
-  /** From now on the job has tasks without capacity. */
+  /** The job has tasks without capacity from now on. */
   default void waiting(String job) {}
 
-  /** The job has none any more. */
+  /** The job has no tasks without capacity any more. */
   default void served(String job) {}
 
-  /** Tasks of the job have been granted. */
+  /** Tasks of the job were granted. */
   default void granted(String job, Collection<Integer> tasks) {}
 
-  /** Grants of the job's tasks are over. */
+  /** Grants of tasks of the job ended. */
   default void grantsEnded(String job, Collection<Integer> tasks) {}
 
-  /** The cloud has no more machines of a kind; that is not asked again for a while. */
+  /** The cloud has no capacity for a machine type, which is not requested again for {@code forMs}. */
   default void capacityRefused(String type, String zone, boolean spot, long forMs) {}
 
-  /** What the former owner of the partition knew of a worker; null where nothing is known. */
+  /** What the former owner of the partition knew about a worker; null if nothing is known. */
   default InheritedWorker inherited(Partition partition, String machine) {
     return null;
   }
 
-  /** What the former leader knew; null where nothing is known. */
+  /** What the former leader knew about the queue; null if nothing is known. */
   default InheritedQueue inheritedQueue() {
     return null;
   }
--- a/src/main/java/org/baygw/control/core/TokenBucket.java
+++ b/src/main/java/org/baygw/control/core/TokenBucket.java
@@ -1,6 +1,6 @@
 package org.baygw.control.core;
 
-/** Allows so many calls a second, with a burst. */
+/** A token bucket: limits the rate of calls and allows bursts. */
 public final class TokenBucket {
   private double perMs;
   private double burst;
@@ -15,7 +15,8 @@
   }
 
   /**
-   * Takes n tokens if they are there. A call larger than the whole burst passes when it is full.
+   * Takes n tokens if they are available. A call that needs more than the whole burst is allowed when
+   * the bucket is full.
    */
   public boolean take(long now, double n) {
     fill(now);
@@ -26,24 +27,24 @@
     return true;
   }
 
-  /** Whether a call may be made whose cost is known only then; charge() tells that afterwards. */
+  /** Whether a call may be made whose cost is not known yet; charge() deducts the cost afterwards. */
   public boolean ready(long now) {
     fill(now);
     return now >= restUntil && level >= Math.min(1.0, burst);
   }
 
-  /** Takes what a call that ready() let pass did cost, into debt if need be. */
+  /** Deducts the cost of a call that ready() allowed; the level may become negative. */
   public void charge(double n) {
     level -= n;
   }
 
-  /** Share of the burst that is there. */
+  /** The available share of the burst, from 0 to 1; 0 during a pause. */
   public double fullness(long now) {
     fill(now);
     return now < restUntil ? 0 : Math.max(0, level / burst);
   }
 
-  /** From now on so many a second. */
+  /** Changes the rate and the burst. */
   public void rate(double perSecond, double newBurst) {
     perMs = perSecond / 1000.0;
     burst = Math.max(1.0, newBurst);
@@ -54,7 +55,7 @@
     last = now;
   }
 
-  /** Lets nothing pass for a while, after a refusal. */
+  /** Allows no calls for a time, after the service has refused one. */
   public void rest(long now, long ms) {
     restUntil = Math.max(restUntil, now + ms);
     level = Math.min(level, 1.0);
