--- a/src/main/java/org/baygw/control/model/Job.java
+++ b/src/main/java/org/baygw/control/model/Job.java
@@ -3,20 +3,20 @@
 import org.baygw.control.Constants;
 
 /**
- * An accepted job: its key's value. The time of day of acceptance serves deadlines only.
+ * An accepted job as stored under its key.
  *
- * @param cancelledMs time of day at which the cancellation was written, before any user was told of
- *     it; 0 where the job is not cancelled
+ * @param acceptedMs time of day of acceptance; used for deadlines only
+ * @param cancelledMs time of day at which the cancellation was written, which is before it was
+ *     confirmed to any user; 0 if the job is not cancelled
  */
 public record Job(JobSpec spec, State state, long acceptedMs, long cancelledMs) {
-  /** Durable states; the final ones never change. */
+  /** Durable states; DONE and CANCELLED are final. */
   public enum State {
     ACCEPTED,
     DONE,
     CANCELLED
   }
 
-  /** A job that has just been accepted. */
   public static Job accepted(JobSpec spec, long nowMs) {
     return new Job(spec, State.ACCEPTED, nowMs, 0);
   }
@@ -25,17 +25,16 @@
     return state == State.ACCEPTED;
   }
 
-  /** This job, completed. */
   public Job done() {
     return new Job(spec, State.DONE, acceptedMs, 0);
   }
 
-  /** This job, cancelled at a time of day. */
+  /** This job, cancelled at the given time of day. */
   public Job cancelled(long nowMs) {
     return new Job(spec, State.CANCELLED, acceptedMs, nowMs);
   }
 
-  /** How many keys its progress takes. */
+  /** The number of chunks, each stored under its own key, that hold the job's progress. */
   public int chunks() {
     return (spec.tasks() + Constants.CHUNK_TASKS - 1) / Constants.CHUNK_TASKS;
   }
--- a/src/main/java/org/baygw/control/model/JobSpec.java
+++ b/src/main/java/org/baygw/control/model/JobSpec.java
@@ -3,7 +3,13 @@
 import java.util.List;
 import org.baygw.control.Constants;
 
-/** What a user asked for. Lists and zone are empty or null where anything is allowed. */
+/**
+ * A job as a user requested it.
+ *
+ * @param types allowed machine types; empty if any type is allowed
+ * @param zone required zone; null if any zone is allowed
+ * @param deadlineS null if the job has no deadline
+ */
 public record JobSpec(
     String id,
     String jobClass,
@@ -26,7 +32,7 @@
     double saveS,
     Double deadlineS) {
 
-  /** Urgency, highest first. */
+  /** Priorities, highest first. */
   public enum Priority {
     PRODUCTION,
     HIGH,
@@ -38,7 +44,7 @@
     return checkpointS > 0;
   }
 
-  /** s a task gets to save when it is stopped. */
+  /** Seconds that a stopped task is given to save its state. */
   public double graceS() {
     return saveS * Constants.GRACE_SAVES + Constants.GRACE_S;
   }
@@ -47,7 +53,7 @@
     return types.isEmpty() || types.contains(type);
   }
 
-  /** Most tasks that may be in one zone at a time. */
+  /** The maximum number of tasks in one zone at a time. */
   public int zoneCap() {
     return spread ? (tasks + 1) / 2 : tasks;
   }
--- a/src/main/java/org/baygw/control/model/Machine.java
+++ b/src/main/java/org/baygw/control/model/Machine.java
@@ -7,8 +7,11 @@
 import org.baygw.control.Constants;
 
 /**
- * A machine: what it is (its own record), every task that may be on it, with its attempt, and its
- * condition (its partition's record), and the images it probably has (known by watching).
+ * A machine. Its type, zone and address come from its own record, the condition and the tasks from
+ * its partition's record.
+ *
+ * @param tasks every task that may be on the machine, with its attempt
+ * @param images images that are probably cached on the machine, inferred from its tasks
  */
 public record Machine(
     String name,
@@ -21,14 +24,14 @@
     List<String> images,
     Partition part) {
 
-  /** Whether it is fit for new tasks. */
+  /** Whether a machine accepts new tasks, and why not. */
   public enum Condition {
     OK,
-    /** Its spot notice came. */
+    /** The cloud has announced that it will reclaim this spot machine. */
     LEAVING,
-    /** It neither reports nor answers. */
+    /** The worker neither reports nor answers. */
     SILENT,
-    /** It fails what it is given: it gets no more, and is to be returned. */
+    /** Tasks fail on it repeatedly: it gets no more tasks and will be returned. */
     SICK
   }
 
@@ -41,7 +44,7 @@
         name, type, zone, spot, addr, condition, new LinkedHashMap<>(next), images, part);
   }
 
-  /** Notes that the machine fetches this image; the ones used last are kept. */
+  /** Adds an image that the machine fetches; the most recently used images are kept. */
   public Machine withImage(String image) {
     List<String> next = new ArrayList<>(images);
     next.remove(image);
--- a/src/main/java/org/baygw/control/model/MachineType.java
+++ b/src/main/java/org/baygw/control/model/MachineType.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A kind of machine the cloud offers. */
+/** A machine type that the cloud offers. */
 public record MachineType(
     String name,
     double cpus,
--- a/src/main/java/org/baygw/control/model/Partition.java
+++ b/src/main/java/org/baygw/control/model/Partition.java
@@ -5,12 +5,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A fixed share of a zone's machines. */
+/** A fixed subset of a zone's machines. */
 public final class Partition implements Comparable<Partition> {
   private final String zone;
   private final int index;
 
-  /** Made once: it is the name of the partition's claim, which is looked up at every step. */
+  /** Computed once, because the partition's claim is looked up by this name at every clock step. */
   private final String name;
 
   public Partition(String zone, int index) {
@@ -27,7 +27,11 @@
     return index;
   }
 
-  /** The part of a machine where each zone has so many; that number is durable (see Membership). */
+  /**
+   * The partition of a machine.
+   *
+   * @param perZone the stored number of partitions per zone
+   */
   public static Partition of(String machine, String zone, int perZone) {
     int h = Hashing.murmur3_32_fixed().hashString(machine, StandardCharsets.UTF_8).asInt();
     return new Partition(zone, Math.floorMod(h, perZone));
--- a/src/main/java/org/baygw/control/model/PartitionRecord.java
+++ b/src/main/java/org/baygw/control/model/PartitionRecord.java
@@ -9,10 +9,15 @@
 import org.baygw.control.Constants;
 
 /**
- * A page of a partition's record: the tasks that may be on each of its machines, the machines that
- * are not fit for more, and the tasks that have ended there but stand in their job's progress
- * still. Lists of tasks are kept as text, so that a reader looks only into those that changed. How
- * many pages the record has stands on the first of them; that of the others has no meaning.
+ * A page of a partition's record. Lists of tasks are kept as text, so that a reader parses only the
+ * lists that changed.
+ *
+ * @param pages the number of pages of the record; meaningful on the first page only
+ * @param on the tasks that may be on a machine, by machine
+ * @param conditions the conditions of machines that accept no new tasks, by machine
+ * @param done completed tasks that their job's progress still has as live, by job
+ * @param back tasks that ended without completing and that their job's progress still has as live,
+ *     by job
  */
 public record PartitionRecord(
     int pages,
@@ -26,15 +31,15 @@
 
   private static final HashFunction PAGES = Hashing.murmur3_32_fixed(1);
 
-  /** This page, shared, as one of a record of so many. */
+  /** This page with another number of pages; the maps are shared. */
   public PartitionRecord withPages(int count) {
     return new PartitionRecord(count, on, conditions, done, back);
   }
 
   /**
-   * The page that a machine stands on, by linear hashing: pages are split one at a time, in their
-   * order, and a machine stays where it is or goes to the page that came of its own. The hash is
-   * not the one that chose the partition.
+   * The page of a machine, by linear hashing: pages are split one at a time in order, and a machine
+   * stays on its page or moves to the page that was split off from it. The hash differs from the one
+   * that selects the partition; otherwise the machines of a partition would share few pages.
    */
   public static int pageOf(String machine, int pages) {
     if (pages == 1) {
@@ -46,12 +51,12 @@
     return page < pages ? page : Math.floorMod(hash, round);
   }
 
-  /** The page that is split next, into itself and the page after the last. */
+  /** The page that is split next; the page after the last one takes part of its machines. */
   public static int nextSplit(int pages) {
     return pages - Integer.highestOneBit(pages);
   }
 
-  /** A copy to be changed. */
+  /** A mutable copy. */
   public PartitionRecord copy() {
     return new PartitionRecord(
         pages,
@@ -61,17 +66,17 @@
         new LinkedHashMap<>(back));
   }
 
-  /** About how many bytes the record takes. */
+  /** The approximate size of the page in bytes. */
   public int size() {
     return onSize() + endedSize();
   }
 
-  /** About how many bytes of it are what machines have to do. */
+  /** The approximate size in bytes of the machines' tasks and conditions. */
   public int onSize() {
     return size(on) + size(conditions);
   }
 
-  /** About how many bytes of it are ended tasks, which go when their jobs' progress has them. */
+  /** The approximate size in bytes of ended tasks, which are removed once progress has them. */
   public int endedSize() {
     return size(done) + size(back);
   }
@@ -84,7 +89,7 @@
     return n;
   }
 
-  /** Tasks with their attempts as text: "job:0-3,7*2 job:1", an attempt of 1 left out. */
+  /** Formats tasks with their attempts: "job:0-3,7*2 job:1", where attempt 1 is omitted. */
   public static String tasks(Map<TaskId, Integer> tasks) {
     Map<String, TreeMap<Integer, Integer>> jobs = new LinkedHashMap<>();
     tasks.forEach(
@@ -113,7 +118,7 @@
     return out;
   }
 
-  /** Indexes with a number each, as text: "0-3,7*2"; runs of one number are drawn together. */
+  /** Formats task indexes with their attempts: "0-3,7*2"; runs of the same attempt are merged. */
   public static String indexes(TreeMap<Integer, Integer> list) {
     StringBuilder b = new StringBuilder();
     int from = -1;
--- a/src/main/java/org/baygw/control/model/Progress.java
+++ b/src/main/java/org/baygw/control/model/Progress.java
@@ -5,18 +5,22 @@
 import java.util.TreeMap;
 
 /**
- * How far the tasks of one chunk of a job are. A live task was granted to a partition and counts
- * against its team until it is proved gone. Copied before it is changed: the cached one is what is
- * durable.
+ * The progress of the tasks in one chunk of a job. A live task was granted to a partition and counts
+ * against its team's limit until its termination is proved. The cached instance reflects the
+ * durable state, so it is copied before it is changed.
  */
 public final class Progress {
-  /** A granted task; stop means that it is to be ended and go back to the queue. */
+  /**
+   * A granted task.
+   *
+   * @param stop whether the task is to be stopped and returned to the queue
+   */
   public record Live(int attempt, Partition part, boolean stop) {}
 
   public final BitSet done = new BitSet();
   public final Map<Integer, Live> live = new TreeMap<>();
 
-  /** Highest attempt used so far of tasks that are not live. */
+  /** The highest attempt so far of each granted task that is neither live nor done. */
   public final Map<Integer, Integer> tried = new TreeMap<>();
 
   public Progress copy() {
@@ -32,7 +36,7 @@
     return l != null && l.attempt() == attempt;
   }
 
-  /** Grants a task and returns its attempt. */
+  /** Grants a task and returns the number of its attempt. */
   public int grant(int index, Partition part) {
     Integer last = tried.remove(index);
     int attempt = last == null ? 1 : last + 1;
@@ -40,7 +44,7 @@
     return attempt;
   }
 
-  /** The task is proved gone without having completed. */
+  /** Returns a task to the queue: it is proved to have ended without completing. */
   public void back(int index) {
     Live l = live.remove(index);
     if (l != null) {
--- a/src/main/java/org/baygw/control/model/Records.java
+++ b/src/main/java/org/baygw/control/model/Records.java
@@ -12,7 +12,8 @@
 import org.baygw.control.core.Json;
 
 /**
- * How the records stand in the state service. Reading throws IllegalArgumentException on nonsense.
+ * Converts records to and from their JSON form in the state service. Reading throws
+ * IllegalArgumentException if a record is malformed.
  */
 public final class Records {
   public static ObjectNode job(Job j) {
@@ -107,7 +108,7 @@
     return p;
   }
 
-  /** What a machine is; its tasks and condition stand in its partition's record. */
+  /** A machine's own record; its tasks and condition are in its partition's record. */
   public static ObjectNode machine(Machine m) {
     return Json.object()
         .put("type", m.type())
@@ -216,7 +217,7 @@
 
   private static JsonNode object(JsonNode n) {
     if (!n.isObject()) {
-      throw new IllegalArgumentException("no object");
+      throw new IllegalArgumentException("not a JSON object");
     }
     return n;
   }
--- a/src/main/java/org/baygw/control/model/Rental.java
+++ b/src/main/java/org/baygw/control/model/Rental.java
@@ -1,4 +1,4 @@
 package org.baygw.control.model;
 
-/** A rental that is under way, as its booking's key has it. */
+/** A rental in progress, as stored under its booking's key. */
 public record Rental(String type, String zone, boolean spot, int count) {}
--- a/src/main/java/org/baygw/control/model/SchedulingParameters.java
+++ b/src/main/java/org/baygw/control/model/SchedulingParameters.java
@@ -5,7 +5,16 @@
 import org.baygw.control.Constants;
 import org.baygw.control.core.Json;
 
-/** The design's open parameters; operators change them through the administration API. */
+/**
+ * Scheduling parameters that operators change through the administration API.
+ *
+ * @param alpha weight of an active machine in the cost of a placement
+ * @param mu weight of a move in the cost of a placement
+ * @param moveShare limit of moves in one consolidation round, as a share of the machines
+ * @param roundPeriodS time between consolidation rounds
+ * @param searchNodes limit of search nodes in one consolidation round
+ * @param ageLimitS age of a task above which it is not moved
+ */
 public record SchedulingParameters(
     double alpha,
     double mu,
@@ -24,7 +33,8 @@
           Constants.AGE_LIMIT_S);
 
   /**
-   * Reads what is given over these; throws IllegalArgumentException naming a field out of range.
+   * These parameters with the given fields replaced; throws IllegalArgumentException that names a
+   * field that is out of range.
    */
   public SchedulingParameters with(JsonNode n) {
     return new SchedulingParameters(
--- a/src/main/java/org/baygw/control/model/TaskId.java
+++ b/src/main/java/org/baygw/control/model/TaskId.java
@@ -2,7 +2,7 @@
 
 /** One task of a job. */
 public record TaskId(String job, int index) implements Comparable<TaskId> {
-  /** Returns null where the text names no task. */
+  /** Returns null if the text is not a task ID. */
   public static TaskId parse(String text) {
     int slash = text.lastIndexOf('/');
     if (slash <= 0) {
@@ -16,7 +16,8 @@
     }
   }
 
-  // Written out: a record's own are linked at run time, which costs a controller's start dearly.
+  // Implemented explicitly: the generated methods of a record are linked at run time, which slows
+  // down start-up considerably.
   @Override
   public boolean equals(Object o) {
     return o instanceof TaskId t && index == t.index && job.equals(t.job);
--- a/src/test/java/org/baygw/control/model/PartitionRecordTest.java
+++ b/src/test/java/org/baygw/control/model/PartitionRecordTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pages of a partition's record: the same place for a machine whoever works it out, and evenly
- * filled.
+ * Pages of a partition's record: splitting moves machines only to the new pages, machines are spread
+ * evenly, and a page is read as it was written.
  */
 final class PartitionRecordTest {
   private static String machine(int i) {
@@ -27,7 +27,7 @@
         assertTrue(after == before || moves, machine(i) + " of " + pages);
         moved += moves ? 1 : 0;
       }
-      assertTrue(moved > 0, "nothing on page " + pages);
+      assertTrue(moved > 0, "no machine moved to page " + pages);
     }
   }
 
@@ -44,7 +44,7 @@
 
   @Test
   void theMachinesOfOnePartSpreadOverItsPages() {
-    // Were the partition's own hash taken again, the machines of a partition would share few pages.
+    // With the hash that selects the partition, its machines would share few pages.
     int[] on = new int[8];
     int all = 0;
     for (int i = 0; i < 8_000; i++) {
