--- a/src/main/java/org/baygw/control/Controller.java
+++ b/src/main/java/org/baygw/control/Controller.java
@@ -21,9 +21,9 @@
 import org.baygw.control.workers.Workers;
 
 /**
- * The core: takes requests, answers of other systems and clock ticks; gives back what to send and
- * to answer. It does no I/O, reads no clock and has no thread, so tests drive it with simulated
- * ones.
+ * The core of a controller: takes requests, answers of other systems and clock ticks, and returns
+ * the calls and answers to send. It does no I/O, reads no clock and has no threads, so tests can
+ * drive it with a simulated clock and network.
  */
 public final class Controller {
   private final Clock clock = new Clock();
@@ -39,7 +39,7 @@
   private final Fleet fleet;
   private final Admin admin;
 
-  /** Warm standby; null where it is off, so that none of its classes is loaded. */
+  /** Warm standby; null if it is disabled, so that none of its classes is loaded. */
   private final StandbyService standby;
 
   public Controller(Settings settings, Features features) {
@@ -64,21 +64,21 @@
   }
 
   /**
-   * Whether orders to workers that were decided at a time are not to be sent now, because another
-   * controller may have taken over since. The shell asks between deciding and sending.
+   * Whether orders to workers that were decided at the given time must not be sent now, because
+   * another controller may have taken over since. The event loop asks between deciding and sending.
    */
   public boolean withholds(long decidedAtMs, long nowMs) {
     return standby != null && standby.withholds(decidedAtMs, nowMs);
   }
 
-  /** The process is to end soon: what can be handed over in order is. */
+  /** Begins to hand over this controller's roles, because the process is about to end. */
   public void beginToEnd() {
     if (standby != null) {
       standby.beginToEnd();
     }
   }
 
-  /** Whether nothing is left to hand over before the process ends. */
+  /** Whether nothing remains to be handed over before the process ends. */
   public boolean ended() {
     return standby == null || standby.ended();
   }
@@ -90,7 +90,7 @@
     }
   }
 
-  /** A request on the users' and workers' side. */
+  /** Handles a request on the port for users and workers. */
   public List<Outbox.Effect> request(
       long nowMs, long wallMs, long id, String method, String path, byte[] body) {
     begin(nowMs, wallMs);
@@ -106,7 +106,7 @@
     return out.drain();
   }
 
-  /** A request on the operators' and controllers' side. */
+  /** Handles a request on the port for operators and other controllers. */
   public List<Outbox.Effect> peerRequest(
       long nowMs, long wallMs, long id, String method, String path, byte[] body) {
     begin(nowMs, wallMs);
@@ -122,7 +122,7 @@
     return out.drain();
   }
 
-  /** The outcome of a call that this core asked for; a tick is to follow soon. */
+  /** Handles the outcome of a call that the core issued; a tick should follow soon. */
   public List<Outbox.Effect> outcome(
       long nowMs, long wallMs, Outbox.Callback then, int status, byte[] body) {
     begin(nowMs, wallMs);
@@ -130,7 +130,7 @@
     return out.drain();
   }
 
-  /** Time has passed, or outcomes have come: looks at what there is to do. */
+  /** Handles the passing of time and the outcomes received since the last tick. */
   public List<Outbox.Effect> tick(long nowMs, long wallMs) {
     begin(nowMs, wallMs);
     store.tick();
--- a/src/main/java/org/baygw/control/Main.java
+++ b/src/main/java/org/baygw/control/Main.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Model.OptionSpec;
 
-/** The command line. */
+/** The command-line entry point. */
 public final class Main {
   private static final int BAD_USAGE = 2;
   private static final String CONFIG = "--config";
@@ -44,11 +44,11 @@
     }
   }
 
-  /** Built by hand: reading annotations would take a third of a controller's start. */
+  /** Built without annotations: reading them would take a third of a controller's start-up time. */
   private static CommandSpec command() {
     CommandSpec spec = CommandSpec.create().name("baygw");
     spec.usageMessage()
-        .description("A controller of the baygw cluster scheduler. Runs until it is killed.")
+        .description("A controller of the baygw cluster scheduler. Runs until it is terminated.")
         .footer("", "LOG_LEVEL: error, info (default) or debug; the log goes to standard error.");
     spec.addOption(
         OptionSpec.builder(CONFIG)
@@ -60,13 +60,13 @@
         OptionSpec.builder(FEATURES)
             .paramLabel("FILE")
             .type(Path.class)
-            .description("The operators' choice of optional subsystems (TOML); none without it.")
+            .description("Optional subsystems to enable (TOML); without this file none is enabled.")
             .build());
     spec.addOption(
         OptionSpec.builder(SELF_CHECK)
             .type(boolean.class)
             .description(
-                "Start on loopback, answer one request, and end: shows that the program runs here.")
+                "Check that the program runs here: start on loopback, answer one request, and exit.")
             .build());
     spec.addOption(
         OptionSpec.builder("-h", "--help")
@@ -83,7 +83,7 @@
     return spec;
   }
 
-  /** The version from the jar's manifest. */
+  /** The version from the JAR manifest. */
   private static String version() {
     String version = Main.class.getPackage().getImplementationVersion();
     return version == null ? "(unpacked)" : version;
@@ -112,7 +112,7 @@
     }
   }
 
-  /** Starts a controller; its event loop goes on after this has returned. */
+  /** Starts a controller. Its event loop keeps running after this method returns. */
   private static void serve(Path config, Features features) throws InterruptedException {
     Settings settings;
     try {
@@ -137,10 +137,10 @@
     }
   }
 
-  /** Ends the program; declared to return so that the compiler knows that nothing follows. */
+  /** Exits; declares a return value so that callers can write {@code throw exit(...)}. */
   private static RuntimeException exit(int status, String message) {
     System.err.println(message);
     System.exit(status);
-    return new IllegalStateException("the program goes on after its end");
+    return new IllegalStateException("System.exit returned");
   }
 }
