--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -3,8 +3,8 @@
 /** Every fixed number of the service, each with its unit and its reason. */
 public final class Constants {
   /**
-   * Parts of all zones for each controller of a new deployment: with two, the loss of a controller
-   * spreads over several others.
+   * Partitions per controller in a new deployment, over all zones: with two, the partitions of a
+   * lost controller go to several others.
    */
   public static final double PARTS_PER_CONTROLLER = 2;
 
@@ -40,7 +40,7 @@
   /** Bytes of a page kept free for what ends: it moves from one list to another, and may grow. */
   public static final int RECORD_SPARE_BYTES = 200;
 
-  /** Bytes an entry of a page takes beside its name and text: quotes, colon, comma. */
+  /** Bytes of a page entry in addition to its name and text: quotes, colon and comma. */
   public static final int RECORD_ENTRY_BYTES = 6;
 
   /** Bytes a task takes of it, about, with its share of its job's name. */
@@ -56,8 +56,8 @@
   public static final int FOLDS = 4;
 
   /**
-   * Assignments of the partitions kept, by members: they change by one or two at a time, and a
-   * standby is chosen for each of a few owners.
+   * Cached partition assignments, one for each set of controllers: members change one or two at a
+   * time, and each owner's standby is chosen among all others.
    */
   public static final int OWNERS_KEPT = 24;
 
@@ -85,7 +85,7 @@
   /** Bytes that a machine takes of its partition's list of leaving machines, with some to spare. */
   public static final int DRAIN_ENTRY_BYTES = 40;
 
-  /** Images remembered for a machine: about as many as its cache holds. */
+  /** Images remembered per machine: about as many as its cache holds. */
   public static final int MACHINE_IMAGES = 20;
 
   /** ms. The core's clock step where the processor allows it: fine against second-long aims. */
@@ -102,7 +102,10 @@
    */
   public static final long TICK_MOST_MS = 150;
 
-  /** ms. A hold's life: two lost renewals and a slow answer are survived, a crash is seen soon. */
+  /**
+   * ms. Term of a membership lease: survives two lost renewals and a slow answer, yet a crash is
+   * detected soon.
+   */
   public static final long HOLD_TTL_MS = 5_000;
 
   /**
@@ -131,45 +134,45 @@
    */
   public static final int INTRODUCTIONS_A_STEP = 24;
 
-  /** ms between renewals of the hold: three tries within its life. */
+  /** ms between renewals of the membership lease: allows three attempts within its term. */
   public static final long HOLD_TOUCH_MS = 1_500;
 
-  /**
-   * ms a controller must be seen before partitions are handed to it: long enough not to chase one
-   * that flaps.
-   */
+  /** ms a controller must have been a member before partitions are handed to it, against flapping. */
   public static final long SETTLE_MS = 1_000;
 
-  /** ms after joining for which controllers that are still to come count: they start within it. */
+  /**
+   * ms after joining during which controllers that have not joined yet count as members: when all
+   * restart together they join within it.
+   */
   public static final long TOGETHER_MS = 1_000;
 
-  /** ms between looks at who should hold what. */
+  /** ms between checks of the assignment of roles. */
   public static final long CLAIM_LOOK_MS = 100;
 
-  /** ms between tries for a claim that another controller may be taking at the same moment. */
+  /** ms before a failed write of claims is retried: another controller may be writing the same. */
   public static final long CLAIM_RETRY_MS = 300;
 
   /**
-   * ms without a leader after which its zone does not count any more in the choice of the next one:
-   * a claim by the first choice, and once more.
+   * ms without a leader after which the choice of the next one ignores the former leader's zone:
+   * time for the preferred controller to claim the role and retry once.
    */
   public static final long LEADERLESS_MS = 600;
 
-  /** ms between two statuses sent to the other controllers. */
+  /** ms between statuses sent to the other controllers. */
   public static final long PEER_MS = 3_000;
 
   /**
-   * ms by which another controller was answered later by the state service: this one is refused
-   * alone.
+   * ms between the state service's last answers to two controllers above which it is considered to
+   * refuse only the one that was answered earlier.
    */
   public static final long ALONE_MS = 5_000;
 
-  /** ms between two statuses at least: cancellations that come together go together. */
+  /** Minimum ms between statuses, so that cancellations in quick succession share one. */
   public static final long PEER_URGENT_MS = 200;
 
   /**
-   * Cancellations in one status: they fit into a body. A copy that lacks more needs the state
-   * service.
+   * Maximum number of cancellations in one status, so that it fits into a request body. A controller
+   * that lacks more has to read them from the state service.
    */
   public static final int CANCELLATIONS_TOLD = 1_000;
 
@@ -186,8 +189,8 @@
   public static final long WATERMARK_PERIOD_MIN_MS = 250;
 
   /**
-   * ms of that time below which ordinary delays end leases: a watch and two lost answers take so
-   * long.
+   * ms for which knowledge of cancellations is recent enough to renew leases, below which ordinary
+   * delays let leases expire: a watch and two lost answers take as long.
    */
   public static final long WATERMARK_TIGHT_MS = 8_000;
 
@@ -329,10 +332,10 @@
   /** ms a worker is remembered that reports before its machine is on record. */
   public static final long UNREGISTERED_MS = 10_000;
 
-  /** Times its saving time that a stopped task is given, since machines differ in speed. */
+  /** Factor on the saving time that a stopped task is given, since machines differ in speed. */
   public static final double GRACE_SAVES = 2;
 
-  /** s added to that, for tasks that save at once. */
+  /** s added to the saving time of a stopped task, for tasks that save at once. */
   public static final double GRACE_S = 1;
 
   /**
@@ -495,27 +498,27 @@
   /** Machines per return request (protocol). */
   public static final int MAX_RETURN = 100;
 
-  /** Weight of an active machine (the paper's value). */
+  /** Weight of an active machine in the cost of a placement. */
   public static final double ALPHA = 10;
 
-  /** Weight of a move (the paper's value). */
+  /** Weight of a move in the cost of a placement. */
   public static final double MU = 1;
 
-  /** K as a share of the machines (the paper's value). */
+  /** Maximum number of moves in one consolidation round, as a share of the machines. */
   public static final double MOVE_SHARE = 0.1;
 
-  /** s between rounds (the design's starting value). */
+  /** s between consolidation rounds. */
   public static final double ROUND_PERIOD_S = 20;
 
-  /** Nodes a round may visit; at the start about what 100 ms allow on a whole core. */
+  /** Search nodes that a consolidation round may visit: about 100 ms on a whole core. */
   public static final int SEARCH_NODES = 2_000;
 
   /** Nodes per step, so that reports and polls are answered between steps. */
   public static final int SEARCH_STEP = 50;
 
   /**
-   * s. Tasks that run longer stay put: a move restarts a task that cannot save, so it must be
-   * young.
+   * s. Tasks that have run for longer are not moved: a move restarts a task that cannot save its
+   * state.
    */
   public static final double AGE_LIMIT_S = 5;
 
