--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -137,7 +137,9 @@
   /** ms between renewals of the membership lease: allows three attempts within its term. */
   public static final long HOLD_TOUCH_MS = 1_500;
 
-  /** ms a controller must have been a member before partitions are handed to it, against flapping. */
+  /**
+   * ms a controller must have been a member before partitions are handed to it, against flapping.
+   */
   public static final long SETTLE_MS = 1_000;
 
   /**
@@ -171,8 +173,8 @@
   public static final long PEER_URGENT_MS = 200;
 
   /**
-   * Maximum number of cancellations in one status, so that it fits into a request body. A controller
-   * that lacks more has to read them from the state service.
+   * Maximum number of cancellations in one status, so that it fits into a request body. A
+   * controller that lacks more has to read them from the state service.
    */
   public static final int CANCELLATIONS_TOLD = 1_000;
 
--- a/src/main/java/org/baygw/control/core/Json.java
+++ b/src/main/java/org/baygw/control/core/Json.java
@@ -44,8 +44,8 @@
 
   /**
    * Parses a request from a user or an operator: like {@link #parse(byte[])}, but an object with a
-   * duplicate name is invalid as well. The check needs a set for each object, so workers' reports and
-   * answers of the state service are parsed without it.
+   * duplicate name is invalid as well. The check needs a set for each object, so workers' reports
+   * and answers of the state service are parsed without it.
    */
   public static JsonNode parseStrict(byte[] body) {
     return parse(STRICT, body);
--- a/src/main/java/org/baygw/control/core/Replication.java
+++ b/src/main/java/org/baygw/control/core/Replication.java
@@ -79,7 +79,9 @@
   /** Grants of tasks of the job ended. */
   default void grantsEnded(String job, Collection<Integer> tasks) {}
 
-  /** The cloud has no capacity for a machine type, which is not requested again for {@code forMs}. */
+  /**
+   * The cloud has no capacity for a machine type, which is not requested again for {@code forMs}.
+   */
   default void capacityRefused(String type, String zone, boolean spot, long forMs) {}
 
   /** What the former owner of the partition knew about a worker; null if nothing is known. */
--- a/src/main/java/org/baygw/control/core/TokenBucket.java
+++ b/src/main/java/org/baygw/control/core/TokenBucket.java
@@ -15,8 +15,8 @@
   }
 
   /**
-   * Takes n tokens if they are available. A call that needs more than the whole burst is allowed when
-   * the bucket is full.
+   * Takes n tokens if they are available. A call that needs more than the whole burst is allowed
+   * when the bucket is full.
    */
   public boolean take(long now, double n) {
     fill(now);
@@ -27,7 +27,9 @@
     return true;
   }
 
-  /** Whether a call may be made whose cost is not known yet; charge() deducts the cost afterwards. */
+  /**
+   * Whether a call may be made whose cost is not known yet; charge() deducts the cost afterwards.
+   */
   public boolean ready(long now) {
     fill(now);
     return now >= restUntil && level >= Math.min(1.0, burst);
--- a/src/main/java/org/baygw/control/membership/CancellationWatermark.java
+++ b/src/main/java/org/baygw/control/membership/CancellationWatermark.java
@@ -73,9 +73,8 @@
   }
 
   /**
-   * Whether a controller can rely on its claims as far as this one can tell: it
-   * acknowledged a status recently, and the state service did not refuse it alone before the outage
-   * began for all.
+   * Whether a controller can rely on its claims as far as this one can tell: it acknowledged a
+   * status recently, and the state service did not refuse it alone before the outage began for all.
    */
   public boolean acts(String label) {
     return label.equals(settings.label()) || lives(label) && !peers.behind(label);
--- a/src/main/java/org/baygw/control/membership/Membership.java
+++ b/src/main/java/org/baygw/control/membership/Membership.java
@@ -418,8 +418,8 @@
   }
 
   /**
-   * The given controllers that are not leaving and reach their workers; if none reaches its workers,
-   * all that are not leaving.
+   * The given controllers that are not leaving and reach their workers; if none reaches its
+   * workers, all that are not leaving.
    */
   private Set<String> able(Set<String> among) {
     Set<String> staying = staying(among);
--- a/src/main/java/org/baygw/control/membership/MembershipLease.java
+++ b/src/main/java/org/baygw/control/membership/MembershipLease.java
@@ -188,8 +188,8 @@
   }
 
   /**
-   * The steady time until which a lease requested or renewed now is guaranteed to be valid, allowing
-   * for clock drift.
+   * The steady time until which a lease requested or renewed now is guaranteed to be valid,
+   * allowing for clock drift.
    */
   private long certainlyUntil() {
     return clock.now() + (long) (Constants.HOLD_TTL_MS * (1 - Constants.DRIFT));
@@ -247,7 +247,10 @@
   void reaches(boolean can) {
     StateCache.Entry<StateCache.Member> entry = view.members.get(settings.label());
     if (entry != null && entry.value().reaches() != can) {
-      update(entry, can, () -> LOG.info("{} the workers of its zone", can ? "reaches" : "does not reach"));
+      update(
+          entry,
+          can,
+          () -> LOG.info("{} the workers of its zone", can ? "reaches" : "does not reach"));
     }
   }
 
@@ -259,7 +262,9 @@
       update(
           entry,
           entry.value().reaches(),
-          () -> LOG.info(leaves ? "marked as leaving: others take its roles" : "accepts roles again"));
+          () ->
+              LOG.info(
+                  leaves ? "marked as leaving: others take its roles" : "accepts roles again"));
     }
   }
 
--- a/src/main/java/org/baygw/control/membership/Peers.java
+++ b/src/main/java/org/baygw/control/membership/Peers.java
@@ -108,11 +108,17 @@
     if (s != null) {
       out.answer(request, 200, encode(s.revision()));
     } else {
-      out.answer(request, 400, Json.bytes(Json.object().put("error", "not a valid status of a known controller")));
+      out.answer(
+          request,
+          400,
+          Json.bytes(Json.object().put("error", "not a valid status of a known controller")));
     }
   }
 
-  /** Whether the state service answered another controller noticeably later than this one. */
+  /**
+   * Whether the state service seems to refuse only this controller: it answered another one
+   * noticeably later.
+   */
   public boolean refusedAlone() {
     // Compares times of the last answers, not ages: in an outage all controllers were last answered
     // at about the same time, and an old status from just before the outage must not look as if the
@@ -125,7 +131,10 @@
     return false;
   }
 
-  /** Whether the state service answered this controller noticeably later than the peer. */
+  /**
+   * Whether the state service seems to refuse only the peer: it answered this controller noticeably
+   * later.
+   */
   boolean behind(String sibling) {
     Seen s = seen.get(sibling);
     return s != null && store.lastContact() - s.at() + s.stateAgeMs() > Constants.ALONE_MS;
--- a/src/main/java/org/baygw/control/model/PartitionRecord.java
+++ b/src/main/java/org/baygw/control/model/PartitionRecord.java
@@ -38,8 +38,8 @@
 
   /**
    * The page of a machine, by linear hashing: pages are split one at a time in order, and a machine
-   * stays on its page or moves to the page that was split off from it. The hash differs from the one
-   * that selects the partition; otherwise the machines of a partition would share few pages.
+   * stays on its page or moves to the page that was split off from it. The hash differs from the
+   * one that selects the partition; otherwise the machines of a partition would share few pages.
    */
   public static int pageOf(String machine, int pages) {
     if (pages == 1) {
--- a/src/main/java/org/baygw/control/model/Progress.java
+++ b/src/main/java/org/baygw/control/model/Progress.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 
 /**
- * The progress of the tasks in one chunk of a job. A live task was granted to a partition and counts
- * against its team's limit until its termination is proved. The cached instance reflects the
+ * The progress of the tasks in one chunk of a job. A live task was granted to a partition and
+ * counts against its team's limit until its termination is proved. The cached instance reflects the
  * durable state, so it is copied before it is changed.
  */
 public final class Progress {
--- a/src/test/java/org/baygw/control/model/PartitionRecordTest.java
+++ b/src/test/java/org/baygw/control/model/PartitionRecordTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pages of a partition's record: splitting moves machines only to the new pages, machines are spread
- * evenly, and a page is read as it was written.
+ * Pages of a partition's record: splitting moves machines only to the new pages, machines are
+ * spread evenly, and a page is read as it was written.
  */
 final class PartitionRecordTest {
   private static String machine(int i) {
