--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -6,7 +6,7 @@
    * Partitions per controller in a new deployment, over all zones: with two, the partitions of a
    * lost controller go to several others.
    */
-  public static final double PARTS_PER_CONTROLLER = 2;
+  public static final double PARTITIONS_PER_CONTROLLER = 2;
 
   /** Tasks per progress key. 128 live tasks take about 3 KiB, well inside an 8 KiB value. */
   public static final int CHUNK_TASKS = 128;
@@ -59,7 +59,7 @@
    * Cached partition assignments, one for each set of controllers: members change one or two at a
    * time, and each owner's standby is chosen among all others.
    */
-  public static final int OWNERS_KEPT = 24;
+  public static final int CACHED_ASSIGNMENTS = 24;
 
   /**
    * ms between two writes of a partition's record while tokens are scarce: what ends meanwhile
@@ -86,7 +86,7 @@
   public static final int DRAIN_ENTRY_BYTES = 40;
 
   /** Images remembered per machine: about as many as its cache holds. */
-  public static final int MACHINE_IMAGES = 20;
+  public static final int IMAGES_PER_MACHINE = 20;
 
   /** ms. The core's clock step where the processor allows it: fine against second-long aims. */
   public static final long TICK_MS = 50;
@@ -106,7 +106,7 @@
    * ms. Term of a membership lease: survives two lost renewals and a slow answer, yet a crash is
    * detected soon.
    */
-  public static final long HOLD_TTL_MS = 5_000;
+  public static final long MEMBERSHIP_LEASE_MS = 5_000;
 
   /**
    * ms for which a planned handover waits for standbys to catch up: a batch and its answer. They do
@@ -135,21 +135,21 @@
   public static final int INTRODUCTIONS_A_STEP = 24;
 
   /** ms between renewals of the membership lease: allows three attempts within its term. */
-  public static final long HOLD_TOUCH_MS = 1_500;
+  public static final long MEMBERSHIP_RENEWAL_MS = 1_500;
 
   /**
    * ms a controller must have been a member before partitions are handed to it, against flapping.
    */
-  public static final long SETTLE_MS = 1_000;
+  public static final long MEMBER_STABLE_MS = 1_000;
 
   /**
    * ms after joining during which controllers that have not joined yet count as members: when all
    * restart together they join within it.
    */
-  public static final long TOGETHER_MS = 1_000;
+  public static final long JOIN_GRACE_MS = 1_000;
 
   /** ms between checks of the assignment of roles. */
-  public static final long CLAIM_LOOK_MS = 100;
+  public static final long CLAIM_CHECK_MS = 100;
 
   /** ms before a failed write of claims is retried: another controller may be writing the same. */
   public static final long CLAIM_RETRY_MS = 300;
@@ -161,22 +161,22 @@
   public static final long LEADERLESS_MS = 600;
 
   /** ms between statuses sent to the other controllers. */
-  public static final long PEER_MS = 3_000;
+  public static final long PEER_STATUS_MS = 3_000;
 
   /**
    * ms between the state service's last answers to two controllers above which it is considered to
    * refuse only the one that was answered earlier.
    */
-  public static final long ALONE_MS = 5_000;
+  public static final long STATE_ISOLATION_MS = 5_000;
 
   /** Minimum ms between statuses, so that cancellations in quick succession share one. */
-  public static final long PEER_URGENT_MS = 200;
+  public static final long PEER_STATUS_MIN_GAP_MS = 200;
 
   /**
    * Maximum number of cancellations in one status, so that it fits into a request body. A
    * controller that lacks more has to read them from the state service.
    */
-  public static final int CANCELLATIONS_TOLD = 1_000;
+  public static final int CANCELLATIONS_PER_STATUS = 1_000;
 
   /**
    * ms taken off the time that a lease leaves of a cancellation's: a worker ends its session at the
@@ -194,7 +194,7 @@
    * ms for which knowledge of cancellations is recent enough to renew leases, below which ordinary
    * delays let leases expire: a watch and two lost answers take as long.
    */
-  public static final long WATERMARK_TIGHT_MS = 8_000;
+  public static final long WATERMARK_WARN_MS = 8_000;
 
   /** Significant digits of histograms: 1% is enough for latencies and keeps them small. */
   public static final int HISTOGRAM_DIGITS = 2;
@@ -335,7 +335,7 @@
   public static final long UNREGISTERED_MS = 10_000;
 
   /** Factor on the saving time that a stopped task is given, since machines differ in speed. */
-  public static final double GRACE_SAVES = 2;
+  public static final double GRACE_SAVE_FACTOR = 2;
 
   /** s added to the saving time of a stopped task, for tasks that save at once. */
   public static final double GRACE_S = 1;
--- a/src/main/java/org/baygw/control/Controller.java
+++ b/src/main/java/org/baygw/control/Controller.java
@@ -67,19 +67,19 @@
    * Whether orders to workers that were decided at the given time must not be sent now, because
    * another controller may have taken over since. The event loop asks between deciding and sending.
    */
-  public boolean withholds(long decidedAtMs, long nowMs) {
+  public boolean withholdsOrders(long decidedAtMs, long nowMs) {
     return standby != null && standby.withholds(decidedAtMs, nowMs);
   }
 
   /** Begins to hand over this controller's roles, because the process is about to end. */
-  public void beginToEnd() {
+  public void beginShutdown() {
     if (standby != null) {
       standby.beginToEnd();
     }
   }
 
   /** Whether nothing remains to be handed over before the process ends. */
-  public boolean ended() {
+  public boolean readyToStop() {
     return standby == null || standby.ended();
   }
 
--- a/src/main/java/org/baygw/control/admin/Admin.java
+++ b/src/main/java/org/baygw/control/admin/Admin.java
@@ -130,7 +130,7 @@
         ok -> {
           SchedulingParameters next;
           try {
-            next = view.params.with(n);
+            next = view.params.withChanges(n);
           } catch (IllegalArgumentException e) {
             error(request, 400, e.getMessage());
             return;
@@ -197,7 +197,7 @@
     for (StateCache.Entry<Machine> e : new TreeMap<>(view.machines).values()) {
       Machine m = e.value();
       ObjectNode o = a.addObject().put("name", m.name()).put("type", m.type());
-      o.put("zone", m.zone()).put("spot", m.spot()).put("part", m.part().toString());
+      o.put("zone", m.zone()).put("spot", m.spot()).put("part", m.partition().toString());
       o.put("condition", m.condition().name().toLowerCase(java.util.Locale.ROOT));
       o.put("draining", view.cordons.contains(m.name()) || view.drains.containsKey(m.name()));
       ArrayNode t = o.putArray("tasks");
--- a/src/main/java/org/baygw/control/cloud/Cloud.java
+++ b/src/main/java/org/baygw/control/cloud/Cloud.java
@@ -76,7 +76,7 @@
             Constants.CLOUD_TIMEOUT_MS,
             (status, body) -> {
               if (status == 429) {
-                bucket.rest(clock.now(), Constants.CLOUD_RETRY_MS);
+                bucket.pause(clock.now(), Constants.CLOUD_RETRY_MS);
               }
               w.then.done(status, body);
             });
--- a/src/main/java/org/baygw/control/core/Outbox.java
+++ b/src/main/java/org/baygw/control/core/Outbox.java
@@ -37,8 +37,8 @@
       String path,
       byte[] body,
       long timeoutMs,
-      Callback then,
-      boolean orders)
+      Callback callback,
+      boolean carriesOrders)
       implements Effect {}
 
   /**
@@ -48,7 +48,8 @@
    * @param retryAfterS seconds of the Retry-After header; 0 for none
    * @param orders whether the answer carries orders to a worker, as for a call
    */
-  public record Answer(long request, int status, byte[] body, int retryAfterS, boolean orders)
+  public record Answer(
+      long requestId, int status, byte[] body, int retryAfterS, boolean carriesOrders)
       implements Effect {
     private static final byte[] WITHHELD =
         Json.bytes(Json.object().put("error", "another controller may have taken over"));
@@ -67,7 +68,7 @@
   }
 
   /** Sends orders to a worker. */
-  public void orders(String addr, String path, byte[] body, long timeoutMs, Callback then) {
+  public void sendOrders(String addr, String path, byte[] body, long timeoutMs, Callback then) {
     effects.add(new Call(addr, "POST", path, body, timeoutMs, then, true));
   }
 
--- a/src/main/java/org/baygw/control/core/Replication.java
+++ b/src/main/java/org/baygw/control/core/Replication.java
@@ -33,7 +33,7 @@
    *
    * @param forMs time for which it is not requested again
    */
-  record RefusedCapacity(String type, String zone, boolean spot, long forMs) {}
+  record RefusedCapacity(String type, String zone, boolean spot, long remainingMs) {}
 
   /**
    * What the former leader knew about the queue.
@@ -50,31 +50,31 @@
   default void sessionKnown(Partition partition, String machine, String address, long session) {}
 
   /** A launch order for the task was sent. */
-  default void launched(Partition partition, String machine, TaskId task) {}
+  default void taskLaunched(Partition partition, String machine, TaskId task) {}
 
   /** The task is no longer on the machine. */
-  default void ended(Partition partition, String machine, TaskId task) {}
+  default void taskEnded(Partition partition, String machine, TaskId task) {}
 
   /** A task of the job failed on the machine. */
-  default void failed(Partition partition, String machine, String job) {}
+  default void taskFailed(Partition partition, String machine, String job) {}
 
   /** A task completed on the machine, which resets its count of failures. */
-  default void completed(Partition partition, String machine) {}
+  default void taskCompleted(Partition partition, String machine) {}
 
   /** The machine fails tasks that succeed on others. */
-  default void sick(Partition partition, String machine) {}
+  default void machineSick(Partition partition, String machine) {}
 
   /** The machine is gone. */
-  default void gone(Partition partition, String machine) {}
+  default void machineGone(Partition partition, String machine) {}
 
   /** The job has tasks without capacity from now on. */
-  default void waiting(String job) {}
+  default void jobWaiting(String job) {}
 
   /** The job has no tasks without capacity any more. */
-  default void served(String job) {}
+  default void jobServed(String job) {}
 
   /** Tasks of the job were granted. */
-  default void granted(String job, Collection<Integer> tasks) {}
+  default void tasksGranted(String job, Collection<Integer> tasks) {}
 
   /** Grants of tasks of the job ended. */
   default void grantsEnded(String job, Collection<Integer> tasks) {}
@@ -85,7 +85,7 @@
   default void capacityRefused(String type, String zone, boolean spot, long forMs) {}
 
   /** What the former owner of the partition knew about a worker; null if nothing is known. */
-  default InheritedWorker inherited(Partition partition, String machine) {
+  default InheritedWorker inheritedWorker(Partition partition, String machine) {
     return null;
   }
 
--- a/src/main/java/org/baygw/control/core/TokenBucket.java
+++ b/src/main/java/org/baygw/control/core/TokenBucket.java
@@ -47,7 +47,7 @@
   }
 
   /** Changes the rate and the burst. */
-  public void rate(double perSecond, double newBurst) {
+  public void setRate(double perSecond, double newBurst) {
     perMs = perSecond / 1000.0;
     burst = Math.max(1.0, newBurst);
   }
@@ -58,7 +58,7 @@
   }
 
   /** Allows no calls for a time, after the service has refused one. */
-  public void rest(long now, long ms) {
+  public void pause(long now, long ms) {
     restUntil = Math.max(restUntil, now + ms);
     level = Math.min(level, 1.0);
   }
--- a/src/main/java/org/baygw/control/fleet/CloudInventory.java
+++ b/src/main/java/org/baygw/control/fleet/CloudInventory.java
@@ -88,11 +88,11 @@
     typing = false;
     boolean read = types != null && !types.isEmpty();
     nextTypes = clock.now() + (read ? Constants.TYPES_MS : Constants.CLOUD_RETRY_MS);
-    if (read && !types.equals(view.types) && membership.leadership() != 0) {
+    if (read && !types.equals(view.types) && membership.leaderClaimStamp() != 0) {
       store.txn(
           Store.Urgency.SUBMIT,
           new Txn()
-              .when(Keys.claim(Keys.LEADER), membership.leadership())
+              .when(Keys.claim(Keys.LEADER), membership.leaderClaimStamp())
               .put(Keys.TYPES, Records.types(types)),
           Constants.STATE_TIMEOUT_MS,
           outcome -> {
--- a/src/main/java/org/baygw/control/fleet/Fleet.java
+++ b/src/main/java/org/baygw/control/fleet/Fleet.java
@@ -49,11 +49,11 @@
 
   /** Time has passed, or something has changed. */
   public void tick() {
-    if (!store.loaded() || membership.leadership() == 0) {
+    if (!store.loaded() || membership.leaderClaimStamp() == 0) {
       return;
     }
-    if (claim != membership.leadership()) {
-      claim = membership.leadership();
+    if (claim != membership.leaderClaimStamp()) {
+      claim = membership.leaderClaimStamp();
       inventory.reset();
       rentals.reset(claim);
       spare.reset();
--- a/src/main/java/org/baygw/control/fleet/RentalPlanner.java
+++ b/src/main/java/org/baygw/control/fleet/RentalPlanner.java
@@ -103,7 +103,7 @@
     double bestPrice = 0;
     int bestCount = 0;
     for (MachineType type : view.types) {
-      if (!type.holds(spec) || !spec.typeAllowed(type.name())) {
+      if (!type.fits(spec) || !spec.typeAllowed(type.name())) {
         continue;
       }
       for (String zone : type.zones()) {
--- a/src/main/java/org/baygw/control/fleet/Rentals.java
+++ b/src/main/java/org/baygw/control/fleet/Rentals.java
@@ -105,7 +105,7 @@
               kind ->
                   refused.putIfAbsent(
                       new MachineKind(kind.type(), kind.zone(), kind.spot()),
-                      clock.now() + Math.min(kind.forMs(), Constants.NO_CAPACITY_MS)));
+                      clock.now() + Math.min(kind.remainingMs(), Constants.NO_CAPACITY_MS)));
     }
   }
 
--- a/src/main/java/org/baygw/control/fleet/SpareMachines.java
+++ b/src/main/java/org/baygw/control/fleet/SpareMachines.java
@@ -80,7 +80,9 @@
     Set<String> cut = new HashSet<>();
     silent.forEach(
         (zone, n) -> {
-          if (n > 2 && (n > all.get(zone) * Constants.SILENT_SHARE_MAX || membership.lost(zone))) {
+          if (n > 2
+              && (n > all.get(zone) * Constants.SILENT_SHARE_MAX
+                  || membership.lostAllControllers(zone))) {
             cut.add(zone);
             cutAt.put(zone, now);
           }
@@ -99,7 +101,7 @@
       if (m.condition() == Machine.Condition.SILENT || m.condition() == Machine.Condition.SICK) {
         continue;
       }
-      if (!m.tasks().isEmpty() || !view.unplaced(m.part()).isEmpty()) {
+      if (!m.tasks().isEmpty() || !view.unplaced(m.partition()).isEmpty()) {
         emptySince.remove(m.name());
         continue;
       }
--- a/src/main/java/org/baygw/control/jobs/Jobs.java
+++ b/src/main/java/org/baygw/control/jobs/Jobs.java
@@ -52,7 +52,7 @@
   /** Whether this controller can take requests. */
   public boolean ready() {
     // Users are better served elsewhere while the state service refuses this controller alone.
-    return store.loaded() && !peers.refusedAlone();
+    return store.loaded() && !peers.isolatedFromStateService();
   }
 
   /** Handles a request if it is one of ours. */
@@ -176,7 +176,7 @@
     boolean fits = false;
     for (MachineType t : view.types) {
       fits |=
-          t.holds(s)
+          t.fits(s)
               && s.typeAllowed(t.name())
               && (s.zone() == null || t.zones().contains(s.zone()));
     }
@@ -243,7 +243,7 @@
         outcome -> {
           switch (outcome) {
             case OK -> {
-              peers.cancelled();
+              peers.announceCancellation();
               answer(request, id);
             }
             case CONFLICT -> store.current(ok -> abort(request, id, ok ? tries - 1 : 0));
--- a/src/main/java/org/baygw/control/membership/CancellationWatermark.java
+++ b/src/main/java/org/baygw/control/membership/CancellationWatermark.java
@@ -29,7 +29,7 @@
     this.store = store;
     this.peers = peers;
     this.maxAgeMs = settings.workers().watermarkMs();
-    if (maxAgeMs < Constants.WATERMARK_TIGHT_MS) {
+    if (maxAgeMs < Constants.WATERMARK_WARN_MS) {
       LOG.warn(
           "cancel_s exceeds lease_s by only {} ms after margins: worker leases are renewed only while"
               + " knowledge of cancellations is more recent, so ordinary delays may end tasks",
@@ -38,7 +38,7 @@
   }
 
   /** Whether the state cache was brought up to date within the last membership lease term. */
-  public boolean copyIsCurrent() {
+  public boolean cacheIsCurrent() {
     return store.currentAsOf() >= longAgo();
   }
 
@@ -53,8 +53,8 @@
    * single answer after a long silence does not rule out a takeover, because the cache may still
    * lack it.
    */
-  public boolean mayBeReplaced() {
-    return !copyIsCurrent() && !outageForMost();
+  public boolean mayHaveLostClaims() {
+    return !cacheIsCurrent() && !outageForMajority();
   }
 
   /**
@@ -62,13 +62,13 @@
    * of controllers: most are alive and none reached the service after this one lost it. No claim
    * changes hands in such an outage.
    */
-  public boolean outageForMost() {
+  public boolean outageForMajority() {
     int lives = 1;
     for (Settings.Peer p : settings.peers()) {
       lives += lives(p.label()) ? 1 : 0;
     }
     return store.lastContact() < longAgo()
-        && !peers.refusedAlone()
+        && !peers.isolatedFromStateService()
         && 2 * lives > settings.peers().size() + 1;
   }
 
@@ -76,8 +76,8 @@
    * Whether a controller can rely on its claims as far as this one can tell: it acknowledged a
    * status recently, and the state service did not refuse it alone before the outage began for all.
    */
-  public boolean acts(String label) {
-    return label.equals(settings.label()) || lives(label) && !peers.behind(label);
+  public boolean canRelyOnClaims(String label) {
+    return label.equals(settings.label()) || lives(label) && !peers.peerIsolated(label);
   }
 
   private boolean lives(String label) {
@@ -85,7 +85,7 @@
   }
 
   private long longAgo() {
-    return clock.now() - Constants.HOLD_TTL_MS;
+    return clock.now() - Constants.MEMBERSHIP_LEASE_MS;
   }
 
   private long knownUntil() {
--- a/src/main/java/org/baygw/control/membership/Membership.java
+++ b/src/main/java/org/baygw/control/membership/Membership.java
@@ -82,7 +82,7 @@
    * state cache has reached its revision: until then the last writes of the former holder may be
    * missing from the cache.
    */
-  public long owned(String role) {
+  public long heldClaimStamp(String role) {
     StateCache.Entry<StateCache.Claim> claim = view.claims.get(role);
     return claim != null
             && lease.current() != 0
@@ -100,18 +100,18 @@
    *
    * @param stamp the stamp of this controller's claim
    */
-  public void overtaken(Partition partition, long stamp) {
+  public void claimSuperseded(Partition partition, long stamp) {
     if (overtaken.merge(partition.toString(), stamp, Math::max) == stamp) {
       LOG.info("partition {} was taken over by another controller", partition);
     }
   }
 
-  public long owned(Partition partition) {
-    return owned(partition.toString());
+  public long heldClaimStamp(Partition partition) {
+    return heldClaimStamp(partition.toString());
   }
 
-  public long leadership() {
-    return owned(Keys.LEADER);
+  public long leaderClaimStamp() {
+    return heldClaimStamp(Keys.LEADER);
   }
 
   /** The claim of a role in the state cache, or null. */
@@ -128,8 +128,8 @@
   }
 
   /** Whether this controller holds any role. */
-  public boolean ownsAny() {
-    return roles().stream().anyMatch(role -> owned(role) != 0);
+  public boolean holdsAnyRole() {
+    return roles().stream().anyMatch(role -> heldClaimStamp(role) != 0);
   }
 
   /** The steady time until which this controller's membership lease is guaranteed to be valid. */
@@ -174,7 +174,7 @@
   }
 
   /** Stores in this controller's member key whether it is leaving. */
-  public void leave(boolean leaves) {
+  public void setLeaving(boolean leaves) {
     lease.leaving(leaves);
   }
 
@@ -198,7 +198,7 @@
     }
     Txn release = new Txn();
     for (String role : roles()) {
-      long stamp = owned(role);
+      long stamp = heldClaimStamp(role);
       if (stamp != 0 && release.writes() < settings.state().txnOps()) {
         release.when(Keys.claim(role), stamp).delete(Keys.claim(role));
       }
@@ -226,7 +226,7 @@
   }
 
   /** Whether this controller's membership has ended permanently. */
-  public boolean left() {
+  public boolean hasLeft() {
     return lease.left();
   }
 
@@ -253,7 +253,7 @@
     if (!store.loaded() || !joined) {
       return;
     }
-    store.share(leadership() != 0);
+    store.share(leaderClaimStamp() != 0);
     if (!claiming && now >= nextClaim && view.members.containsKey(settings.label())) {
       if (view.partitionsPerZone() == 0) {
         layOut();
@@ -278,18 +278,18 @@
         Constants.STATE_TIMEOUT_MS,
         outcome -> {
           claiming = false;
-          nextClaim = clock.now() + Constants.CLAIM_LOOK_MS;
+          nextClaim = clock.now() + Constants.CLAIM_CHECK_MS;
         });
   }
 
   /** Whether this controller is recorded as reaching the workers of its zone. */
-  public boolean reaches() {
+  public boolean workersReachable() {
     StateCache.Entry<StateCache.Member> self = view.members.get(settings.label());
     return self == null || self.value().reaches();
   }
 
   /** Whether another controller of this zone is recorded as reaching the zone's workers. */
-  public boolean othersReach() {
+  public boolean otherControllersReachWorkers() {
     for (Map.Entry<String, StateCache.Entry<StateCache.Member>> entry : view.members.entrySet()) {
       StateCache.Member member = entry.getValue().value();
       if (!entry.getKey().equals(settings.label())
@@ -305,7 +305,7 @@
    * Stores in this controller's member key whether it reaches the workers of its zone. If it does
    * not, others take over its partitions.
    */
-  public void reaches(boolean can) {
+  public void workersReachable(boolean can) {
     lease.reaches(can);
   }
 
@@ -314,7 +314,7 @@
     Txn take = take();
     Txn next = take.writes() > 0 || leaving() ? take : give();
     if (next.writes() == 0) {
-      nextClaim = clock.now() + Constants.CLAIM_LOOK_MS;
+      nextClaim = clock.now() + Constants.CLAIM_CHECK_MS;
       return;
     }
     claiming = true;
@@ -356,7 +356,7 @@
   private Txn give() {
     Map<Partition, String> owners = assignment.among(settled());
     for (Partition partition : partitions()) {
-      long stamp = owned(partition);
+      long stamp = heldClaimStamp(partition);
       if (stamp != 0 && !settings.label().equals(owners.get(partition))) {
         String key = Keys.claim(partition.toString());
         return new Txn().when(key, stamp).delete(key);
@@ -373,14 +373,14 @@
    */
   private Set<String> expected() {
     Set<String> out = able(view.members.keySet());
-    if (clock.now() - lease.joinedAt() < Constants.TOGETHER_MS) {
+    if (clock.now() - lease.joinedAt() < Constants.JOIN_GRACE_MS) {
       settings.peers().forEach(peer -> out.add(peer.label()));
     }
     return out;
   }
 
   /** Whether another zone has controllers in the settings, but none of them is a live member. */
-  public boolean lost(String zone) {
+  public boolean lostAllControllers(String zone) {
     boolean some = false;
     for (Settings.Peer peer : settings.peers()) {
       boolean here = peer.zone().equals(zone);
@@ -393,7 +393,7 @@
   }
 
   /** The controller to which a partition without an owner is assigned, or null. */
-  public String heir(Partition partition) {
+  public String assignedOwner(Partition partition) {
     return assignment.among(able(view.members.keySet())).get(partition);
   }
 
@@ -410,7 +410,7 @@
     Set<String> out = new HashSet<>();
     firstSeen.forEach(
         (label, since) -> {
-          if (clock.now() - since >= Constants.SETTLE_MS || label.equals(settings.label())) {
+          if (clock.now() - since >= Constants.MEMBER_STABLE_MS || label.equals(settings.label())) {
             out.add(label);
           }
         });
--- a/src/main/java/org/baygw/control/membership/MembershipLease.java
+++ b/src/main/java/org/baygw/control/membership/MembershipLease.java
@@ -104,7 +104,7 @@
     }
     long taken = prepared;
     prepared = 0;
-    if (taken != 0 && clock.now() - preparedAt < Constants.HOLD_TOUCH_MS) {
+    if (taken != 0 && clock.now() - preparedAt < Constants.MEMBERSHIP_RENEWAL_MS) {
       enter(taken);
     } else {
       prepare();
@@ -127,7 +127,7 @@
 
   /** Obtains a lease for joining. It has no effect until the member key is attached to it. */
   private void prepare() {
-    ObjectNode ask = Json.object().put("ttlMs", Constants.HOLD_TTL_MS);
+    ObjectNode ask = Json.object().put("ttlMs", Constants.MEMBERSHIP_LEASE_MS);
     long until = certainlyUntil();
     request(
         "POST",
@@ -159,7 +159,7 @@
             current = taken;
             validUntil = preparedUntil;
             joinedAt = clock.now();
-            nextTry = clock.now() + Constants.HOLD_TOUCH_MS;
+            nextTry = clock.now() + Constants.MEMBERSHIP_RENEWAL_MS;
             LOG.info("joined the cluster with membership lease {}", taken);
           } else {
             nextTry = clock.now() + Constants.STATE_RETRY_MS;
@@ -183,7 +183,8 @@
             validUntil = until;
           }
           nextTry =
-              clock.now() + (status == 200 ? Constants.HOLD_TOUCH_MS : Constants.STATE_RETRY_MS);
+              clock.now()
+                  + (status == 200 ? Constants.MEMBERSHIP_RENEWAL_MS : Constants.STATE_RETRY_MS);
         });
   }
 
@@ -192,7 +193,7 @@
    * allowing for clock drift.
    */
   private long certainlyUntil() {
-    return clock.now() + (long) (Constants.HOLD_TTL_MS * (1 - Constants.DRIFT));
+    return clock.now() + (long) (Constants.MEMBERSHIP_LEASE_MS * (1 - Constants.DRIFT));
   }
 
   /** Ends the lease and with it all claims, and obtains no other. */
--- a/src/main/java/org/baygw/control/membership/PartitionAssignment.java
+++ b/src/main/java/org/baygw/control/membership/PartitionAssignment.java
@@ -30,7 +30,7 @@
 
   /** The owner of each partition when the partitions are divided among these controllers. */
   Map<Partition, String> among(Set<String> controllers) {
-    if (known.size() > Constants.OWNERS_KEPT) {
+    if (known.size() > Constants.CACHED_ASSIGNMENTS) {
       known.clear();
     }
     Set<String> key = new HashSet<>();
@@ -55,7 +55,8 @@
   /** The number of partitions per zone in a new deployment. */
   int initialPerZone() {
     int controllers = settings.peers().size() + 1;
-    return (int) Math.ceil(controllers * Constants.PARTS_PER_CONTROLLER / settings.zones().size());
+    return (int)
+        Math.ceil(controllers * Constants.PARTITIONS_PER_CONTROLLER / settings.zones().size());
   }
 
   /** The zone of a controller from its member key, or else the settings; empty if unknown. */
--- a/src/main/java/org/baygw/control/membership/Peers.java
+++ b/src/main/java/org/baygw/control/membership/Peers.java
@@ -48,12 +48,12 @@
     this.store = store;
     this.view = view;
     // A lease that leaves little time for cancellations requires more frequent acknowledgements.
-    this.periodMs = settings.workers().watermarkPeriodMs(Constants.PEER_MS);
+    this.periodMs = settings.workers().watermarkPeriodMs(Constants.PEER_STATUS_MS);
   }
 
   public void tick() {
     long now = clock.now();
-    boolean due = now >= nextSend || urgent && now >= lastSend + Constants.PEER_URGENT_MS;
+    boolean due = now >= nextSend || urgent && now >= lastSend + Constants.PEER_STATUS_MIN_GAP_MS;
     if (!store.loaded() || !due) {
       return;
     }
@@ -80,7 +80,7 @@
   }
 
   /** Makes the next tick send a status early, because a cancellation has become durable here. */
-  public void cancelled() {
+  public void announceCancellation() {
     urgent = true;
   }
 
@@ -119,12 +119,12 @@
    * Whether the state service seems to refuse only this controller: it answered another one
    * noticeably later.
    */
-  public boolean refusedAlone() {
+  public boolean isolatedFromStateService() {
     // Compares times of the last answers, not ages: in an outage all controllers were last answered
     // at about the same time, and an old status from just before the outage must not look as if the
     // service refused only this controller.
     for (Seen s : seen.values()) {
-      if (s.at() - s.stateAgeMs() - store.lastContact() > Constants.ALONE_MS) {
+      if (s.at() - s.stateAgeMs() - store.lastContact() > Constants.STATE_ISOLATION_MS) {
         return true;
       }
     }
@@ -135,9 +135,10 @@
    * Whether the state service seems to refuse only the peer: it answered this controller noticeably
    * later.
    */
-  boolean behind(String sibling) {
+  boolean peerIsolated(String sibling) {
     Seen s = seen.get(sibling);
-    return s != null && store.lastContact() - s.at() + s.stateAgeMs() > Constants.ALONE_MS;
+    return s != null
+        && store.lastContact() - s.at() + s.stateAgeMs() > Constants.STATE_ISOLATION_MS;
   }
 
   /** Decodes a peer's status and applies it; null if the body is not a peer's status. */
@@ -171,14 +172,14 @@
                     j ->
                         cancellations.add(
                             new PeerStatus.Cancellation(j, stamp, view.cancelledMs(j)))));
-    boolean all = cancellations.size() <= Constants.CANCELLATIONS_TOLD;
+    boolean all = cancellations.size() <= Constants.CANCELLATIONS_PER_STATUS;
     PeerStatus s =
         new PeerStatus(
             settings.label(),
             view.revision(),
             Math.max(0, Math.min(clock.now() - store.lastContact(), Integer.MAX_VALUE)),
             store.loaded() && all,
-            all ? cancellations : cancellations.subList(0, Constants.CANCELLATIONS_TOLD));
+            all ? cancellations : cancellations.subList(0, Constants.CANCELLATIONS_PER_STATUS));
     return PeerStatusCodec.encode(s);
   }
 }
--- a/src/main/java/org/baygw/control/model/Job.java
+++ b/src/main/java/org/baygw/control/model/Job.java
@@ -25,7 +25,7 @@
     return state == State.ACCEPTED;
   }
 
-  public Job done() {
+  public Job completed() {
     return new Job(spec, State.DONE, acceptedMs, 0);
   }
 
@@ -35,7 +35,7 @@
   }
 
   /** The number of chunks, each stored under its own key, that hold the job's progress. */
-  public int chunks() {
+  public int progressChunks() {
     return (spec.tasks() + Constants.CHUNK_TASKS - 1) / Constants.CHUNK_TASKS;
   }
 }
--- a/src/main/java/org/baygw/control/model/JobSpec.java
+++ b/src/main/java/org/baygw/control/model/JobSpec.java
@@ -46,7 +46,7 @@
 
   /** Seconds that a stopped task is given to save its state. */
   public double graceS() {
-    return saveS * Constants.GRACE_SAVES + Constants.GRACE_S;
+    return saveS * Constants.GRACE_SAVE_FACTOR + Constants.GRACE_S;
   }
 
   public boolean typeAllowed(String type) {
@@ -54,7 +54,7 @@
   }
 
   /** The maximum number of tasks in one zone at a time. */
-  public int zoneCap() {
+  public int maxTasksPerZone() {
     return spread ? (tasks + 1) / 2 : tasks;
   }
 }
--- a/src/main/java/org/baygw/control/model/Machine.java
+++ b/src/main/java/org/baygw/control/model/Machine.java
@@ -22,7 +22,7 @@
     Condition condition,
     Map<TaskId, Integer> tasks,
     List<String> images,
-    Partition part) {
+    Partition partition) {
 
   /** Whether a machine accepts new tasks, and why not. */
   public enum Condition {
@@ -35,13 +35,13 @@
     SICK
   }
 
-  public Machine with(Condition c) {
-    return new Machine(name, type, zone, spot, addr, c, tasks, images, part);
+  public Machine withCondition(Condition c) {
+    return new Machine(name, type, zone, spot, addr, c, tasks, images, partition);
   }
 
   public Machine withTasks(Map<TaskId, Integer> next) {
     return new Machine(
-        name, type, zone, spot, addr, condition, new LinkedHashMap<>(next), images, part);
+        name, type, zone, spot, addr, condition, new LinkedHashMap<>(next), images, partition);
   }
 
   /** Adds an image that the machine fetches; the most recently used images are kept. */
@@ -49,7 +49,7 @@
     List<String> next = new ArrayList<>(images);
     next.remove(image);
     next.add(image);
-    int from = Math.max(0, next.size() - Constants.MACHINE_IMAGES);
+    int from = Math.max(0, next.size() - Constants.IMAGES_PER_MACHINE);
     return new Machine(
         name,
         type,
@@ -59,6 +59,6 @@
         condition,
         tasks,
         List.copyOf(next.subList(from, next.size())),
-        part);
+        partition);
   }
 }
--- a/src/main/java/org/baygw/control/model/MachineType.java
+++ b/src/main/java/org/baygw/control/model/MachineType.java
@@ -15,7 +15,7 @@
     double bootS,
     List<String> zones) {
 
-  public boolean holds(JobSpec s) {
+  public boolean fits(JobSpec s) {
     return s.cpus() <= cpus && s.gpus() <= gpus && s.memoryGb() <= memoryGb;
   }
 }
--- a/src/main/java/org/baygw/control/model/PartitionRecord.java
+++ b/src/main/java/org/baygw/control/model/PartitionRecord.java
@@ -20,11 +20,11 @@
  *     by job
  */
 public record PartitionRecord(
-    int pages,
-    Map<String, String> on,
-    Map<String, String> conditions,
-    Map<String, String> done,
-    Map<String, String> back) {
+    int pageCount,
+    Map<String, String> tasksByMachine,
+    Map<String, String> conditionsByMachine,
+    Map<String, String> completedByJob,
+    Map<String, String> requeuedByJob) {
 
   public static final PartitionRecord EMPTY =
       new PartitionRecord(1, Map.of(), Map.of(), Map.of(), Map.of());
@@ -32,8 +32,9 @@
   private static final HashFunction PAGES = Hashing.murmur3_32_fixed(1);
 
   /** This page with another number of pages; the maps are shared. */
-  public PartitionRecord withPages(int count) {
-    return new PartitionRecord(count, on, conditions, done, back);
+  public PartitionRecord withPageCount(int count) {
+    return new PartitionRecord(
+        count, tasksByMachine, conditionsByMachine, completedByJob, requeuedByJob);
   }
 
   /**
@@ -59,26 +60,26 @@
   /** A mutable copy. */
   public PartitionRecord copy() {
     return new PartitionRecord(
-        pages,
-        new LinkedHashMap<>(on),
-        new LinkedHashMap<>(conditions),
-        new LinkedHashMap<>(done),
-        new LinkedHashMap<>(back));
+        pageCount,
+        new LinkedHashMap<>(tasksByMachine),
+        new LinkedHashMap<>(conditionsByMachine),
+        new LinkedHashMap<>(completedByJob),
+        new LinkedHashMap<>(requeuedByJob));
   }
 
   /** The approximate size of the page in bytes. */
   public int size() {
-    return onSize() + endedSize();
+    return machinesSize() + endedSize();
   }
 
   /** The approximate size in bytes of the machines' tasks and conditions. */
-  public int onSize() {
-    return size(on) + size(conditions);
+  public int machinesSize() {
+    return size(tasksByMachine) + size(conditionsByMachine);
   }
 
   /** The approximate size in bytes of ended tasks, which are removed once progress has them. */
   public int endedSize() {
-    return size(done) + size(back);
+    return size(completedByJob) + size(requeuedByJob);
   }
 
   private static int size(Map<String, String> m) {
--- a/src/main/java/org/baygw/control/model/Progress.java
+++ b/src/main/java/org/baygw/control/model/Progress.java
@@ -15,46 +15,46 @@
    *
    * @param stop whether the task is to be stopped and returned to the queue
    */
-  public record Live(int attempt, Partition part, boolean stop) {}
+  public record LiveTask(int attempt, Partition partition, boolean stopRequested) {}
 
   public final BitSet done = new BitSet();
-  public final Map<Integer, Live> live = new TreeMap<>();
+  public final Map<Integer, LiveTask> live = new TreeMap<>();
 
   /** The highest attempt so far of each granted task that is neither live nor done. */
-  public final Map<Integer, Integer> tried = new TreeMap<>();
+  public final Map<Integer, Integer> lastAttempts = new TreeMap<>();
 
   public Progress copy() {
     Progress p = new Progress();
     p.done.or(done);
     p.live.putAll(live);
-    p.tried.putAll(tried);
+    p.lastAttempts.putAll(lastAttempts);
     return p;
   }
 
   public boolean isLive(int index, int attempt) {
-    Live l = live.get(index);
+    LiveTask l = live.get(index);
     return l != null && l.attempt() == attempt;
   }
 
   /** Grants a task and returns the number of its attempt. */
   public int grant(int index, Partition part) {
-    Integer last = tried.remove(index);
+    Integer last = lastAttempts.remove(index);
     int attempt = last == null ? 1 : last + 1;
-    live.put(index, new Live(attempt, part, false));
+    live.put(index, new LiveTask(attempt, part, false));
     return attempt;
   }
 
   /** Returns a task to the queue: it is proved to have ended without completing. */
-  public void back(int index) {
-    Live l = live.remove(index);
+  public void requeue(int index) {
+    LiveTask l = live.remove(index);
     if (l != null) {
-      tried.put(index, l.attempt());
+      lastAttempts.put(index, l.attempt());
     }
   }
 
   public void complete(int index) {
     live.remove(index);
-    tried.remove(index);
+    lastAttempts.remove(index);
     done.set(index);
   }
 }
--- a/src/main/java/org/baygw/control/model/Records.java
+++ b/src/main/java/org/baygw/control/model/Records.java
@@ -83,13 +83,13 @@
     ArrayNode live = n.putArray("live");
     p.live.forEach(
         (i, l) -> {
-          ArrayNode a = live.addArray().add(i).add(l.attempt()).add(l.part().toString());
-          if (l.stop()) {
+          ArrayNode a = live.addArray().add(i).add(l.attempt()).add(l.partition().toString());
+          if (l.stopRequested()) {
             a.add(true);
           }
         });
     ArrayNode tried = n.putArray("tried");
-    p.tried.forEach((i, a) -> tried.addArray().add(i).add(a));
+    p.lastAttempts.forEach((i, a) -> tried.addArray().add(i).add(a));
     return n;
   }
 
@@ -99,11 +99,11 @@
     for (JsonNode l : n.path("live")) {
       p.live.put(
           l.path(0).asInt(),
-          new Progress.Live(
+          new Progress.LiveTask(
               l.path(1).asInt(), Partition.parse(l.path(2).asText()), l.path(3).asBoolean()));
     }
     for (JsonNode t : n.path("tried")) {
-      p.tried.put(t.path(0).asInt(), t.path(1).asInt());
+      p.lastAttempts.put(t.path(0).asInt(), t.path(1).asInt());
     }
     return p;
   }
@@ -131,15 +131,15 @@
         Partition.of(name, zone, partitionsPerZone));
   }
 
-  public static ObjectNode record(PartitionRecord r) {
+  public static ObjectNode partitionRecord(PartitionRecord r) {
     ObjectNode n = Json.object();
-    if (r.pages() > 1) {
-      n.put("pages", r.pages());
+    if (r.pageCount() > 1) {
+      n.put("pages", r.pageCount());
     }
-    texts(n.putObject("on"), r.on());
-    texts(n.putObject("conditions"), r.conditions());
-    texts(n.putObject("done"), r.done());
-    texts(n.putObject("back"), r.back());
+    texts(n.putObject("on"), r.tasksByMachine());
+    texts(n.putObject("conditions"), r.conditionsByMachine());
+    texts(n.putObject("done"), r.completedByJob());
+    texts(n.putObject("back"), r.requeuedByJob());
     return n;
   }
 
@@ -147,7 +147,7 @@
     m.forEach(n::put);
   }
 
-  public static PartitionRecord record(JsonNode n) {
+  public static PartitionRecord partitionRecord(JsonNode n) {
     object(n);
     return new PartitionRecord(
         n.path("pages").asInt(1),
--- a/src/main/java/org/baygw/control/model/SchedulingParameters.java
+++ b/src/main/java/org/baygw/control/model/SchedulingParameters.java
@@ -36,7 +36,7 @@
    * These parameters with the given fields replaced; throws IllegalArgumentException that names a
    * field that is out of range.
    */
-  public SchedulingParameters with(JsonNode n) {
+  public SchedulingParameters withChanges(JsonNode n) {
     return new SchedulingParameters(
         number(n, "alpha", alpha, 1e-3, 1e6),
         number(n, "mu", mu, 1e-3, 1e6),
--- a/src/main/java/org/baygw/control/net/EventLoop.java
+++ b/src/main/java/org/baygw/control/net/EventLoop.java
@@ -113,12 +113,12 @@
    */
   public void stopInOrder() throws InterruptedException {
     CountDownLatch ended = new CountDownLatch(1);
-    loop.next().execute(() -> safely(core::beginToEnd));
+    loop.next().execute(() -> safely(core::beginShutdown));
     var looks =
         loop.next()
             .scheduleAtFixedRate(
                 () -> {
-                  if (core.ended()) {
+                  if (core.readyToStop()) {
                     ended.countDown();
                   }
                 },
@@ -192,25 +192,25 @@
   private void emit(List<Outbox.Effect> effects, long decidedAt) {
     for (Outbox.Effect effect : effects) {
       if (effect instanceof Outbox.Call call) {
-        if (call.orders() && core.withholds(decidedAt, now())) {
+        if (call.carriesOrders() && core.withholdsOrders(decidedAt, now())) {
           loop.next().execute(() -> finish(call, Outbox.NOT_SENT, NO_BODY));
         } else {
           client.call(call, (status, body) -> finish(call, status, body));
         }
       } else if (effect instanceof Outbox.Answer answer) {
-        boolean withheld = answer.orders() && core.withholds(decidedAt, now());
-        answer(withheld ? Outbox.Answer.withheld(answer.request()) : answer);
+        boolean withheld = answer.carriesOrders() && core.withholdsOrders(decidedAt, now());
+        answer(withheld ? Outbox.Answer.withheld(answer.requestId()) : answer);
       }
     }
   }
 
   private void finish(Outbox.Call call, int status, byte[] body) {
-    handle((nowMs, wallMs) -> core.outcome(nowMs, wallMs, call.then(), status, body));
+    handle((nowMs, wallMs) -> core.outcome(nowMs, wallMs, call.callback(), status, body));
     stepSoon();
   }
 
   private void answer(Outbox.Answer a) {
-    Pending p = pending.remove(a.request());
+    Pending p = pending.remove(a.requestId());
     if (p == null || !p.channel().isActive()) {
       return;
     }
--- a/src/main/java/org/baygw/control/quota/Preemption.java
+++ b/src/main/java/org/baygw/control/quota/Preemption.java
@@ -318,7 +318,7 @@
       boolean usable =
           machine.condition() == Machine.Condition.OK
               && !view.drains.containsKey(machine.name())
-              && membership.owner(machine.part()) != null;
+              && membership.owner(machine.partition()) != null;
       MachineCapacity room = usable ? rooms.of(machine) : null;
       if (room != null) {
         found.add(room);
@@ -334,12 +334,12 @@
     List<Victim> found = new ArrayList<>();
     for (TaskId task : room.machine().tasks().keySet()) {
       StateCache.Entry<Job> job = view.jobs.get(task.job());
-      Progress.Live live = view.grant(task);
+      Progress.LiveTask live = view.grant(task);
       if (job == null || live == null) {
         continue;
       }
       JobSpec spec = job.value().spec();
-      if (live.stop() || stopping.contains(task) || !job.value().open()) {
+      if (live.stopRequested() || stopping.contains(task) || !job.value().open()) {
         room.free(spec);
       } else if (!writes.busy(task.job()) && spec.priority() != JobSpec.Priority.PRODUCTION) {
         found.add(new Victim(task, spec, cost(task, spec)));
@@ -360,15 +360,15 @@
   }
 
   private void stop(String job, List<Victim> victims) {
-    Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leadership());
+    Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leaderClaimStamp());
     Map<Integer, Progress> next = new LinkedHashMap<>();
     for (Victim victim : victims) {
       int index = victim.task().index();
       int chunk = index / Constants.CHUNK_TASKS;
       if (next.containsKey(chunk) || next.size() < settings.state().txnOps()) {
         Progress progress = next.computeIfAbsent(chunk, c -> view.progress(job, c).copy());
-        Progress.Live live = progress.live.get(index);
-        progress.live.put(index, new Progress.Live(live.attempt(), live.part(), true));
+        Progress.LiveTask live = progress.live.get(index);
+        progress.live.put(index, new Progress.LiveTask(live.attempt(), live.partition(), true));
       }
     }
     next.forEach(
--- a/src/main/java/org/baygw/control/quota/ProgressFolding.java
+++ b/src/main/java/org/baygw/control/quota/ProgressFolding.java
@@ -57,8 +57,8 @@
       for (int i = 0; i < view.pages().count(part); i++) {
         if (view.pages().endedBytes(part, i) > limitBytes) {
           PartitionRecord page = view.pages().get(part, i);
-          jobs.addAll(page.done().keySet());
-          jobs.addAll(page.back().keySet());
+          jobs.addAll(page.completedByJob().keySet());
+          jobs.addAll(page.requeuedByJob().keySet());
         }
       }
     }
@@ -66,7 +66,7 @@
   }
 
   private Txn fold(String job, TreeMap<Integer, StateCache.Entry<Progress>> chunks) {
-    Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leadership());
+    Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leaderClaimStamp());
     chunks.forEach(
         (chunk, entry) -> {
           Progress written = view.written(job, chunk);
--- a/src/main/java/org/baygw/control/quota/Scheduler.java
+++ b/src/main/java/org/baygw/control/quota/Scheduler.java
@@ -104,12 +104,12 @@
   /** Time has passed, or something has changed. */
   public void tick() {
     long now = clock.now();
-    if (!store.loaded() || membership.leadership() == 0) {
+    if (!store.loaded() || membership.leaderClaimStamp() == 0) {
       unmet = List.of();
       return;
     }
-    if (epoch != membership.leadership()) {
-      epoch = membership.leadership();
+    if (epoch != membership.leaderClaimStamp()) {
+      epoch = membership.leaderClaimStamp();
       inherit();
     }
     if (now < nextPass || unmetIsCurrent() && now < nextPass + Constants.SCHEDULER_IDLE_PASS_MS) {
@@ -268,7 +268,7 @@
     private long noteUnmet(QueuedJob job, int count, int[] zoneLive) {
       JobSpec spec = job.spec();
       if (unmetSince.putIfAbsent(job.id(), clock.now()) == null) {
-        replication.waiting(job.id());
+        replication.jobWaiting(job.id());
       }
       long waitedMs = clock.now() - unmetSince.get(job.id());
       if (!spec.spread() && !spec.oneZone()) {
@@ -295,7 +295,7 @@
         String job = it.next();
         if (!waiting.contains(job)) {
           it.remove();
-          replication.served(job);
+          replication.jobServed(job);
         }
       }
     }
@@ -374,7 +374,7 @@
     void write() {
       Txn txn =
           new Txn()
-              .when(Keys.claim(Keys.LEADER), membership.leadership())
+              .when(Keys.claim(Keys.LEADER), membership.leaderClaimStamp())
               .when(Keys.job(job.id()), job.stamp());
       next.forEach(
           (chunk, progress) -> {
@@ -382,7 +382,7 @@
             txn.when(key, view.stamp(key)).put(key, Records.progress(progress));
           });
       LOG.debug("grant {} tasks of {}", count, job.id());
-      replication.granted(job.id(), granted);
+      replication.tasksGranted(job.id(), granted);
       writes.grant(job.id(), partitions, txn);
     }
   }
@@ -426,14 +426,14 @@
         id,
         Store.Urgency.LAUNCH,
         new Txn()
-            .when(Keys.claim(Keys.LEADER), membership.leadership())
+            .when(Keys.claim(Keys.LEADER), membership.leaderClaimStamp())
             .when(Keys.job(id), job.stamp())
-            .put(Keys.job(id), Records.job(job.value().done())));
+            .put(Keys.job(id), Records.job(job.value().completed())));
   }
 
   /** A job that is over and has no task left needs no progress. */
   private void clean(String id, TreeMap<Integer, StateCache.Entry<Progress>> chunks) {
-    Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leadership());
+    Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leaderClaimStamp());
     for (Integer chunk : chunks.keySet()) {
       if (txn.writes() < settings.state().txnOps()) {
         String key = Keys.progress(id, chunk);
--- a/src/main/java/org/baygw/control/quota/ZoneRules.java
+++ b/src/main/java/org/baygw/control/quota/ZoneRules.java
@@ -23,8 +23,8 @@
   }
 
   void count(Progress progress, int[] zoneLive) {
-    for (Progress.Live live : progress.live.values()) {
-      int zone = index(live.part().zone());
+    for (Progress.LiveTask live : progress.live.values()) {
+      int zone = index(live.partition().zone());
       if (zone >= 0) {
         zoneLive[zone]++;
       }
@@ -48,7 +48,7 @@
 
   /** Whether another task may be in the zone, which is not the wrong one. */
   boolean hasShareLeft(JobSpec spec, int zone, int[] zoneLive) {
-    return !spec.spread() || zoneLive[zone] < spec.zoneCap();
+    return !spec.spread() || zoneLive[zone] < spec.maxTasksPerZone();
   }
 
   /** Where a machine for the task would have to be, or null; counts the task there. */
--- a/src/main/java/org/baygw/control/standby/Handover.java
+++ b/src/main/java/org/baygw/control/standby/Handover.java
@@ -86,14 +86,14 @@
 
   /** Whether nothing is left that the end of the process would interrupt. */
   boolean ended() {
-    return ending && phase == Phase.RELEASED && membership.left();
+    return ending && phase == Phase.RELEASED && membership.hasLeft();
   }
 
   void tick() {
     switch (phase) {
-      case NONE -> membership.leave(false);
+      case NONE -> membership.setLeaving(false);
       case ANNOUNCING -> {
-        membership.leave(true);
+        membership.setLeaving(true);
         if (membership.leaving()) {
           flushUntil = clock.now() + Constants.HANDOVER_FLUSH_MS;
           enter(Phase.FLUSHING);
@@ -123,7 +123,7 @@
             ok -> {
               // Where claims are left, of many or after a conflict, they are released next. A
               // conflict without any left is a release whose first answer was lost.
-              boolean left = membership.ownsAny();
+              boolean left = membership.holdsAnyRole();
               if (!left) {
                 roles.released();
               }
--- a/src/main/java/org/baygw/control/standby/RoleTable.java
+++ b/src/main/java/org/baygw/control/standby/RoleTable.java
@@ -97,7 +97,7 @@
     if (entry == null) {
       return null;
     }
-    long epoch = membership.owned(entry.role.name());
+    long epoch = membership.heldClaimStamp(entry.role.name());
     if (epoch == 0) {
       return null;
     }
@@ -145,7 +145,7 @@
   private void look(RoleEntry entry) {
     String role = entry.role.name();
     StateCache.Entry<StateCache.Claim> claim = membership.claim(role);
-    long epoch = membership.owned(role);
+    long epoch = membership.heldClaimStamp(role);
     Takeover.Transition change =
         entry.takeover.observe(
             new Takeover.Observation(
--- a/src/main/java/org/baygw/control/standby/StandbyService.java
+++ b/src/main/java/org/baygw/control/standby/StandbyService.java
@@ -176,49 +176,49 @@
   }
 
   @Override
-  public void launched(Partition partition, String machine, TaskId task) {
+  public void taskLaunched(Partition partition, String machine, TaskId task) {
     RoaringBitmap tasks = RoaringBitmap.bitmapOf(task.index());
     append(partition, new Decision.TasksLaunched(machine, task.job(), tasks, clock.wall()));
   }
 
   @Override
-  public void ended(Partition partition, String machine, TaskId task) {
+  public void taskEnded(Partition partition, String machine, TaskId task) {
     RoaringBitmap tasks = RoaringBitmap.bitmapOf(task.index());
     append(partition, new Decision.TasksEnded(machine, task.job(), tasks));
   }
 
   @Override
-  public void failed(Partition partition, String machine, String job) {
+  public void taskFailed(Partition partition, String machine, String job) {
     append(partition, new Decision.TasksFailed(machine, job, 1));
   }
 
   @Override
-  public void completed(Partition partition, String machine) {
+  public void taskCompleted(Partition partition, String machine) {
     append(partition, new Decision.TaskCompleted(machine));
   }
 
   @Override
-  public void sick(Partition partition, String machine) {
+  public void machineSick(Partition partition, String machine) {
     append(partition, new Decision.MachineSick(machine));
   }
 
   @Override
-  public void gone(Partition partition, String machine) {
+  public void machineGone(Partition partition, String machine) {
     append(partition, new Decision.MachineGone(machine));
   }
 
   @Override
-  public void waiting(String job) {
+  public void jobWaiting(String job) {
     append(new Decision.JobWaiting(job, clock.wall()));
   }
 
   @Override
-  public void served(String job) {
+  public void jobServed(String job) {
     append(new Decision.JobServed(job));
   }
 
   @Override
-  public void granted(String job, Collection<Integer> tasks) {
+  public void tasksGranted(String job, Collection<Integer> tasks) {
     append(new Decision.TasksGranted(job, bitmap(tasks), clock.wall()));
   }
 
@@ -239,7 +239,7 @@
   }
 
   @Override
-  public InheritedWorker inherited(Partition partition, String machine) {
+  public InheritedWorker inheritedWorker(Partition partition, String machine) {
     DecisionLog log = roles.log(partition);
     MachineState known = log == null ? null : log.state().machines().get(machine);
     if (known == null) {
--- a/src/main/java/org/baygw/control/store/PartitionPages.java
+++ b/src/main/java/org/baygw/control/store/PartitionPages.java
@@ -14,7 +14,7 @@
     private static final Page EMPTY = of(PartitionRecord.EMPTY);
 
     static Page of(PartitionRecord record) {
-      return new Page(record, record.onSize(), record.endedSize());
+      return new Page(record, record.machinesSize(), record.endedSize());
     }
   }
 
@@ -24,7 +24,7 @@
 
   /** How many pages a partition's record has. */
   public int count(Partition part) {
-    return get(part, 0).pages();
+    return get(part, 0).pageCount();
   }
 
   /** A page of a partition's record, empty where it is not there. */
--- a/src/main/java/org/baygw/control/store/RequestQueue.java
+++ b/src/main/java/org/baygw/control/store/RequestQueue.java
@@ -76,8 +76,8 @@
     double share = Math.min(Constants.STATE_SHARE_MAX, own * Constants.STATE_OVERBOOK);
     double requestsPerS = settings.state().rps() * share;
     double changesPerS = settings.state().writeRps() * share;
-    requests.rate(requestsPerS, requestsPerS);
-    changes.rate(changesPerS, changesPerS);
+    requests.setRate(requestsPerS, requestsPerS);
+    changes.setRate(changesPerS, changesPerS);
   }
 
   /** Whether tokens for changes are running out. */
@@ -191,8 +191,8 @@
         timeoutMs,
         (status, answer) -> {
           if (status == 429 || status == 503) {
-            requests.rest(clock.now(), Constants.BUCKET_REST_MS);
-            changes.rest(clock.now(), Constants.BUCKET_REST_MS);
+            requests.pause(clock.now(), Constants.BUCKET_REST_MS);
+            changes.pause(clock.now(), Constants.BUCKET_REST_MS);
           } else if (status > 0 && status < 500) {
             // Not the time of the answer: a process that stood still takes old answers in when it
             // wakes, and would think itself in touch in an outage that began meanwhile.
--- a/src/main/java/org/baygw/control/store/StateCache.java
+++ b/src/main/java/org/baygw/control/store/StateCache.java
@@ -214,7 +214,7 @@
   }
 
   private String condition(Partition p, String machine) {
-    return pages.find(p, r -> r.conditions().get(machine));
+    return pages.find(p, r -> r.conditionsByMachine().get(machine));
   }
 
   /** The names of a partition's machines. */
@@ -253,23 +253,23 @@
     return out;
   }
 
-  private void grantEnds(TaskId t, Progress.Live l) {
-    granted.merge(l.part(), -1, Integer::sum);
-    unplaced.getOrDefault(l.part(), Set.of()).remove(t);
+  private void grantEnds(TaskId t, Progress.LiveTask l) {
+    granted.merge(l.partition(), -1, Integer::sum);
+    unplaced.getOrDefault(l.partition(), Set.of()).remove(t);
   }
 
-  private void grantBegins(TaskId t, Progress.Live l) {
-    granted.merge(l.part(), 1, Integer::sum);
+  private void grantBegins(TaskId t, Progress.LiveTask l) {
+    granted.merge(l.partition(), 1, Integer::sum);
     Set<String> at = places.get(t);
     if (at == null) {
-      unplaced.computeIfAbsent(l.part(), k -> new HashSet<>()).add(t);
-    } else if (l.stop()) {
+      unplaced.computeIfAbsent(l.partition(), k -> new HashSet<>()).add(t);
+    } else if (l.stopRequested()) {
       changedMachines.addAll(at);
     }
   }
 
   /** The task's grant, or null. */
-  public Progress.Live grant(TaskId t) {
+  public Progress.LiveTask grant(TaskId t) {
     Progress p = progress(t.job(), t.index() / Constants.CHUNK_TASKS);
     return p == null ? null : p.live.get(t.index());
   }
@@ -333,14 +333,15 @@
           recordChanged(
               Partition.parse(id),
               p.length > 3 ? Integer.parseInt(p[3]) : 0,
-              v == null ? PartitionRecord.EMPTY : Records.record(v));
+              v == null ? PartitionRecord.EMPTY : Records.partitionRecord(v));
       case "machine" -> {
         Machine next = v == null ? null : Records.machine(id, v, partitionsPerZone);
         Entry<Machine> old = machines.get(id);
         if (next != null) {
-          String condition = condition(next.part(), id);
+          String condition = condition(next.partition(), id);
           next = next.withTasks(on(id));
-          next = condition == null ? next : next.with(Machine.Condition.valueOf(condition));
+          next =
+              condition == null ? next : next.withCondition(Machine.Condition.valueOf(condition));
           for (String image : old == null ? List.<String>of() : old.value().images()) {
             next = next.withImage(image);
           }
@@ -348,9 +349,9 @@
         }
         set(machines, id, next, stamp);
         if (next != null) {
-          machinesOf.computeIfAbsent(next.part(), k -> new TreeSet<>()).add(id);
+          machinesOf.computeIfAbsent(next.partition(), k -> new TreeSet<>()).add(id);
         } else if (old != null) {
-          machinesOf.get(old.value().part()).remove(id);
+          machinesOf.get(old.value().partition()).remove(id);
         }
         changedMachines.add(id);
       }
@@ -408,7 +409,9 @@
       case "types" -> types = v == null ? List.of() : Records.types(v);
       case "params" ->
           params =
-              v == null ? SchedulingParameters.DEFAULTS : SchedulingParameters.DEFAULTS.with(v);
+              v == null
+                  ? SchedulingParameters.DEFAULTS
+                  : SchedulingParameters.DEFAULTS.withChanges(v);
       default -> LOG.debug("unknown key {}", key);
     }
   }
@@ -447,7 +450,7 @@
         }
         for (Map.Entry<Integer, Integer> b : e.back().entrySet()) {
           if (next.isLive(b.getKey(), b.getValue())) {
-            next.back(b.getKey());
+            next.requeue(b.getKey());
           }
         }
       }
@@ -462,39 +465,40 @@
 
   private void recordChanged(Partition part, int page, PartitionRecord next) {
     PartitionRecord old = pages.put(part, page, next);
-    for (String machine : old.on().keySet()) {
-      if (!next.on().containsKey(machine)) {
+    for (String machine : old.tasksByMachine().keySet()) {
+      if (!next.tasksByMachine().containsKey(machine)) {
         // Where the record was given more pages the machine may stand on another one now.
-        tasksChanged(machine, PartitionRecord.tasks(pages.find(part, r -> r.on().get(machine))));
+        tasksChanged(
+            machine, PartitionRecord.tasks(pages.find(part, r -> r.tasksByMachine().get(machine))));
       }
     }
-    next.on()
+    next.tasksByMachine()
         .forEach(
             (machine, text) -> {
-              if (!text.equals(old.on().get(machine))) {
+              if (!text.equals(old.tasksByMachine().get(machine))) {
                 tasksChanged(machine, PartitionRecord.tasks(text));
               }
             });
-    Set<String> fit = new HashSet<>(old.conditions().keySet());
-    fit.addAll(next.conditions().keySet());
+    Set<String> fit = new HashSet<>(old.conditionsByMachine().keySet());
+    fit.addAll(next.conditionsByMachine().keySet());
     for (String machine : fit) {
       String condition = condition(part, machine);
       Entry<Machine> e = machines.get(machine);
       Machine.Condition c =
           condition == null ? Machine.Condition.OK : Machine.Condition.valueOf(condition);
       if (e != null && c != e.value().condition()) {
-        machines.put(machine, new Entry<>(e.value().with(c), e.stamp()));
+        machines.put(machine, new Entry<>(e.value().withCondition(c), e.stamp()));
         changedMachines.add(machine);
       }
     }
     String key = Keys.record(part, page);
     Set<String> jobsChanged = new HashSet<>();
-    changed(old.done(), next.done(), jobsChanged);
-    changed(old.back(), next.back(), jobsChanged);
+    changed(old.completedByJob(), next.completedByJob(), jobsChanged);
+    changed(old.requeuedByJob(), next.requeuedByJob(), jobsChanged);
     for (String job : jobsChanged) {
       BitSet done = new BitSet();
-      PartitionRecord.indexes(next.done().get(job)).keySet().forEach(done::set);
-      Map<Integer, Integer> back = PartitionRecord.indexes(next.back().get(job));
+      PartitionRecord.indexes(next.completedByJob().get(job)).keySet().forEach(done::set);
+      Map<Integer, Integer> back = PartitionRecord.indexes(next.requeuedByJob().get(job));
       if (done.isEmpty() && back.isEmpty()) {
         Map<String, Ended> m = ended.get(job);
         if (m != null && m.remove(key) != null && m.isEmpty()) {
@@ -526,7 +530,7 @@
   private void taskDone(String job, int index) {
     Progress p = progress(job, index / Constants.CHUNK_TASKS);
     if (p != null && !p.done.get(index)) {
-      Progress.Live l = p.live.get(index);
+      Progress.LiveTask l = p.live.get(index);
       if (l != null) {
         grantEnds(new TaskId(job, index), l);
       }
@@ -538,7 +542,7 @@
     Progress p = progress(job, index / Constants.CHUNK_TASKS);
     if (p != null && p.isLive(index, attempt)) {
       grantEnds(new TaskId(job, index), p.live.get(index));
-      p.back(index);
+      p.requeue(index);
     }
   }
 
@@ -550,9 +554,9 @@
         at.remove(machine);
         if (at.isEmpty()) {
           places.remove(t);
-          Progress.Live l = grant(t);
+          Progress.LiveTask l = grant(t);
           if (l != null) {
-            unplaced.computeIfAbsent(l.part(), k -> new HashSet<>()).add(t);
+            unplaced.computeIfAbsent(l.partition(), k -> new HashSet<>()).add(t);
           }
         }
       }
@@ -562,9 +566,9 @@
       if (!old.containsKey(t)) {
         fresh.add(t);
         places.computeIfAbsent(t, k -> new HashSet<>()).add(machine);
-        Progress.Live l = grant(t);
+        Progress.LiveTask l = grant(t);
         if (l != null) {
-          unplaced.getOrDefault(l.part(), Set.of()).remove(t);
+          unplaced.getOrDefault(l.partition(), Set.of()).remove(t);
         }
       }
     }
--- a/src/main/java/org/baygw/control/workers/CancellationDeadline.java
+++ b/src/main/java/org/baygw/control/workers/CancellationDeadline.java
@@ -86,13 +86,13 @@
       return;
     }
     nextLook = clock.now() + Constants.LOOK_ALL_MS;
-    if (currentSince == 0 || !watermark.copyIsCurrent()) {
+    if (currentSince == 0 || !watermark.cacheIsCurrent()) {
       currentSince = clock.now();
     }
     List<String> due = look();
     // Another owner may have proved the tasks gone and put others there: then it is not ours to
     // end.
-    if (!due.isEmpty() && !returning && !watermark.mayBeReplaced()) {
+    if (!due.isEmpty() && !returning && !watermark.mayHaveLostClaims()) {
       giveBack(due.subList(0, Math.min(due.size(), Constants.MAX_RETURN)));
     }
   }
@@ -102,7 +102,7 @@
    */
   private List<String> look() {
     returned.retainAll(view.machines.keySet());
-    boolean outage = watermark.outageForMost();
+    boolean outage = watermark.outageForMajority();
     Set<String> pending = new HashSet<>();
     Set<String> due = new LinkedHashSet<>();
     for (StateCache.Entry<Job> job : view.active.values()) {
@@ -150,7 +150,7 @@
     // What the owner has proved would be on record, if it lives; else nobody may be there to do it.
     // After an outage it needs a moment to write that, or machines that work would go back.
     return share > Constants.CANCELLATION_LAST_SHARE
-        && watermark.copyIsCurrent()
+        && watermark.cacheIsCurrent()
         && clock.now() - currentSince > noticeMs();
   }
 
@@ -189,8 +189,8 @@
 
   /** Whether the machine's partition has no owner that can act; told apart in an outage only. */
   private boolean ownerless(Machine machine) {
-    String owner = membership.owner(machine.part());
-    return owner == null || !watermark.acts(owner);
+    String owner = membership.owner(machine.partition());
+    return owner == null || !watermark.canRelyOnClaims(owner);
   }
 
   private void giveBack(List<String> machines) {
--- a/src/main/java/org/baygw/control/workers/ConsolidationRound.java
+++ b/src/main/java/org/baygw/control/workers/ConsolidationRound.java
@@ -172,7 +172,8 @@
             for (int q = 0; q < allowed.length; q++) {
               var m = rooms.get(q).machine();
               allowed[q] =
-                  m.part().equals(part) && MachineCapacity.allowed(s, m.type(), m.zone(), m.spot());
+                  m.partition().equals(part)
+                      && MachineCapacity.allowed(s, m.type(), m.zone(), m.spot());
             }
             double[] load = {s.cpus(), s.gpus(), s.memoryGb()};
             items.add(new BranchAndBound.Item(load, -1, s.service() ? s.id() : null, allowed));
--- a/src/main/java/org/baygw/control/workers/EndedTasks.java
+++ b/src/main/java/org/baygw/control/workers/EndedTasks.java
@@ -23,13 +23,13 @@
   /** Forgets ended tasks that their job's progress has taken over, or that need none any more. */
   static void forgetKnown(PartitionRecord r, StateCache view) {
     forget(
-        r.done(),
+        r.completedByJob(),
         (job, i, attempt) -> {
           Progress p = view.written(job, i / Constants.CHUNK_TASKS);
           return p == null || p.done.get(i);
         });
     forget(
-        r.back(),
+        r.requeuedByJob(),
         (job, i, attempt) -> {
           Progress p = view.written(job, i / Constants.CHUNK_TASKS);
           return p == null || !p.isLive(i, attempt);
--- a/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
+++ b/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
@@ -97,12 +97,12 @@
     String fullFor = null;
     for (TaskId t : todo) {
       StateCache.Entry<Job> j = view.jobs.get(t.job());
-      Progress.Live l = view.grant(t);
+      Progress.LiveTask l = view.grant(t);
       if (leaving.contains(t) || l == null) {
         continue;
       }
       long since = unplacedSince.computeIfAbsent(t, k -> now);
-      boolean over = !view.runs(t.job()) || l.stop();
+      boolean over = !view.runs(t.job()) || l.stopRequested();
       JobSpec s = over ? null : j.value().spec();
       MachineCapacity r = null;
       boolean again = false;
@@ -139,8 +139,8 @@
   }
 
   private boolean isUnplaced(TaskId t) {
-    Progress.Live l = view.grant(t);
-    return l != null && view.unplaced(l.part()).contains(t);
+    Progress.LiveTask l = view.grant(t);
+    return l != null && view.unplaced(l.partition()).contains(t);
   }
 
   private JobSpec.Priority priority(TaskId t) {
--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -161,7 +161,7 @@
 
     /** From this write on the record has so many pages; the first page says so. */
     void setPages(int count) {
-      copies.put(0, copy(0).withPages(count));
+      copies.put(0, copy(0).withPageCount(count));
     }
 
     @Override
@@ -198,18 +198,20 @@
           (machine, tasks) -> {
             PartitionRecord r = copy(page(machine));
             if (tasks.isEmpty()) {
-              r.on().remove(machine);
+              r.tasksByMachine().remove(machine);
             } else {
-              r.on().put(machine, PartitionRecord.tasks(tasks));
+              r.tasksByMachine().put(machine, PartitionRecord.tasks(tasks));
             }
           });
-      done.forEach((page, m) -> m.forEach((job, l) -> EndedTasks.add(copy(page).done(), job, l)));
-      back.forEach((page, m) -> m.forEach((job, l) -> EndedTasks.add(copy(page).back(), job, l)));
+      done.forEach(
+          (page, m) -> m.forEach((job, l) -> EndedTasks.add(copy(page).completedByJob(), job, l)));
+      back.forEach(
+          (page, m) -> m.forEach((job, l) -> EndedTasks.add(copy(page).requeuedByJob(), job, l)));
       // The first page tells how many there are, and so where each machine stands.
       txn.when(Keys.record(part, 0), view.stamp(Keys.record(part, 0)));
       for (int page : touched) {
         String key = Keys.record(part, page);
-        txn.when(key, view.stamp(key)).put(key, Records.record(copy(page)));
+        txn.when(key, view.stamp(key)).put(key, Records.partitionRecord(copy(page)));
       }
       return txn;
     }
@@ -393,8 +395,8 @@
 
   /** Moves the machines that stand on a new page, of so many, over to it. */
   private static void moveTo(PartitionRecord from, PartitionRecord to, int page, int pages) {
-    moveTo(from.on(), to.on(), page, pages);
-    moveTo(from.conditions(), to.conditions(), page, pages);
+    moveTo(from.tasksByMachine(), to.tasksByMachine(), page, pages);
+    moveTo(from.conditionsByMachine(), to.conditionsByMachine(), page, pages);
   }
 
   private static void moveTo(
@@ -448,7 +450,7 @@
         }
       }
     }
-    Map<String, String> conditions = d.copy(d.page(name)).conditions();
+    Map<String, String> conditions = d.copy(d.page(name)).conditionsByMachine();
     if (!Objects.equals(condition, conditions.get(name))) {
       d.touch(d.page(name));
       if (condition == null) {
@@ -465,11 +467,11 @@
     String name = rounds.target(t, from.name);
     StateCache.Entry<Machine> e = name == null ? null : view.machines.get(name);
     StateCache.Entry<Job> j = view.jobs.get(t.job());
-    if (e == null || d.target != null || !view.runs(t.job()) || view.grant(t).stop()) {
+    if (e == null || d.target != null || !view.runs(t.job()) || view.grant(t).stopRequested()) {
       return false;
     }
     Machine to = e.value();
-    PartitionWriter there = owner.writer(to.part());
+    PartitionWriter there = owner.writer(to.partition());
     WorkerSession a = there == null ? null : there.owner.session(name);
     if (a == null || there != this && there.writing || !placer.placeable(a, to)) {
       return false;
@@ -485,28 +487,28 @@
     int chunk = t.index() / Constants.CHUNK_TASKS;
     String progress = Keys.progress(t.job(), chunk);
     Progress p = view.progress(t.job(), chunk).copy();
-    p.back(t.index());
-    int attempt = p.grant(t.index(), to.part());
+    p.requeue(t.index());
+    int attempt = p.grant(t.index(), to.partition());
     d.txn
         .when(progress, view.stamp(progress))
         .put(progress, Records.progress(p))
-        .when(Keys.drain(to.part()), view.stamp(Keys.drain(to.part())))
+        .when(Keys.drain(to.partition()), view.stamp(Keys.drain(to.partition())))
         .when(Keys.job(t.job()), j.stamp());
     if (there == this) {
       d.list(name).put(t, attempt);
     } else {
-      int page = PartitionRecord.pageOf(name, view.pages().count(to.part()));
-      String first = Keys.record(to.part(), 0);
-      String key = Keys.record(to.part(), page);
-      PartitionRecord next = view.pages().get(to.part(), page).copy();
+      int page = PartitionRecord.pageOf(name, view.pages().count(to.partition()));
+      String first = Keys.record(to.partition(), 0);
+      String key = Keys.record(to.partition(), page);
+      PartitionRecord next = view.pages().get(to.partition(), page).copy();
       Map<TaskId, Integer> on = new LinkedHashMap<>(view.on(name));
       on.put(t, attempt);
-      next.on().put(name, PartitionRecord.tasks(on));
+      next.tasksByMachine().put(name, PartitionRecord.tasks(on));
       d.txn
           .when(first, view.stamp(first))
           .when(key, view.stamp(key))
-          .when(Keys.claim(to.part().toString()), there.claim)
-          .put(key, Records.record(next));
+          .when(Keys.claim(to.partition().toString()), there.claim)
+          .put(key, Records.partitionRecord(next));
       d.target = there;
       there.writing = true;
       there.moving.add(t);
@@ -526,7 +528,7 @@
           || view.done(job) + ended.get(job) < j.value().spec().tasks()) {
         continue;
       }
-      int writes = 1 + j.value().chunks();
+      int writes = 1 + j.value().progressChunks();
       if (d.writes() + writes > settings.state().txnOps()) {
         continue; // the leader finishes it
       }
@@ -537,13 +539,13 @@
           clock.wall() - j.value().acceptedMs(),
           j.value().spec().tasks(),
           j.value().spec().estimateS());
-      d.txn.when(Keys.job(job), j.stamp()).put(Keys.job(job), Records.job(j.value().done()));
-      for (int c = 0; c < j.value().chunks(); c++) {
+      d.txn.when(Keys.job(job), j.stamp()).put(Keys.job(job), Records.job(j.value().completed()));
+      for (int c = 0; c < j.value().progressChunks(); c++) {
         d.txn.delete(Keys.progress(job, c));
       }
       d.done.values().forEach(m -> m.remove(job));
-      d.touched.forEach(page -> d.copy(page).done().remove(job));
-      d.touched.forEach(page -> d.copy(page).back().remove(job));
+      d.touched.forEach(page -> d.copy(page).completedByJob().remove(job));
+      d.touched.forEach(page -> d.copy(page).requeuedByJob().remove(job));
     }
   }
 
--- a/src/main/java/org/baygw/control/workers/TaskFailures.java
+++ b/src/main/java/org/baygw/control/workers/TaskFailures.java
@@ -54,7 +54,7 @@
     WorkerCodec.Seen seen = worker.seen.get(task);
     if (end == TerminationEvidence.End.DONE) {
       if (!worker.failures.isEmpty()) {
-        replication.completed(partition, worker.name);
+        replication.taskCompleted(partition, worker.name);
       }
       worker.failures.clear();
       backoffs.remove(task.job());
@@ -62,11 +62,11 @@
         && seen.state() == WorkerCodec.State.ENDED
         && seen.cause() == WorkerCodec.Cause.ERROR) {
       worker.failures.merge(task.job(), 1, Integer::sum);
-      replication.failed(partition, worker.name, task.job());
+      replication.taskFailed(partition, worker.name, task.job());
       backOff(task.job(), worker.name);
       if (!worker.sick && isSick(worker)) {
         worker.sick = true;
-        replication.sick(partition, worker.name);
+        replication.machineSick(partition, worker.name);
       }
     }
   }
--- a/src/main/java/org/baygw/control/workers/TerminationEvidence.java
+++ b/src/main/java/org/baygw/control/workers/TerminationEvidence.java
@@ -92,7 +92,10 @@
     if (!view.runs(t.job())) {
       return false;
     }
-    Progress.Live l = view.grant(t);
-    return l != null && l.attempt() == attempt && !l.stop() && l.part().equals(m.part());
+    Progress.LiveTask l = view.grant(t);
+    return l != null
+        && l.attempt() == attempt
+        && !l.stopRequested()
+        && l.partition().equals(m.partition());
   }
 }
--- a/src/main/java/org/baygw/control/workers/WorkerCommands.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCommands.java
@@ -273,7 +273,7 @@
       }
     }
     a.directBusy = true;
-    out.orders(
+    out.sendOrders(
         a.addr,
         "/orders",
         Json.bytes(WorkerCodec.direct(token, session, orders)),
@@ -314,7 +314,7 @@
     boolean first = a.launched.put(t, clock.now()) == null;
     StateCache.Entry<Machine> machine = view.machines.get(a.name);
     if (first && machine != null) {
-      replication.launched(machine.value().part(), a.name, t);
+      replication.taskLaunched(machine.value().partition(), a.name, t);
     }
     if (first && j != null) {
       long waited = Math.max(0, clock.wall() - j.value().acceptedMs());
--- a/src/main/java/org/baygw/control/workers/WorkerReachability.java
+++ b/src/main/java/org/baygw/control/workers/WorkerReachability.java
@@ -55,20 +55,20 @@
   }
 
   void tick() {
-    if (!membership.reaches()) {
+    if (!membership.workersReachable()) {
       ask();
       return;
     }
     int own = 0;
     for (Partition p : membership.partitions()) {
-      if (p.zone().equals(settings.zone()) && membership.owned(p) != 0) {
+      if (p.zone().equals(settings.zone()) && membership.heldClaimStamp(p) != 0) {
         own += view.machinesOf(p).size();
       }
     }
-    if (own < Constants.UNHEARD_MACHINES || !membership.othersReach()) {
+    if (own < Constants.UNHEARD_MACHINES || !membership.otherControllersReachWorkers()) {
       lastHeard = clock.now();
     } else if (clock.now() - lastHeard > Constants.UNHEARD_REPORTS * periodMs()) {
-      membership.reaches(false);
+      membership.workersReachable(false);
     }
   }
 
@@ -88,7 +88,7 @@
       }
     }
     if (addrs.isEmpty()) {
-      membership.reaches(true);
+      membership.workersReachable(true);
       return;
     }
     out.call(
@@ -100,7 +100,7 @@
         (status, body) -> {
           if (status == 200) {
             lastHeard = clock.now();
-            membership.reaches(true);
+            membership.workersReachable(true);
           }
         });
   }
--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -122,10 +122,10 @@
     }
     reachability.heard(r.zone());
     Partition part = partitionOf(r);
-    long claim = membership.owned(part);
+    long claim = membership.heldClaimStamp(part);
     if (claim == 0) {
       String owner = membership.owner(part);
-      owner = owner == null ? membership.heir(part) : owner;
+      owner = owner == null ? membership.assignedOwner(part) : owner;
       boolean other = owner != null && !owner.equals(settings.label());
       out.answer(request, 421, Json.bytes(WorkerCodec.home(other ? owner : null)));
       return;
@@ -192,7 +192,7 @@
         nextAll = all ? now + Constants.LOOK_ALL_MS : nextAll;
         sessions.values().removeIf(a -> !a.busy && !owns(a));
         for (Partition p : membership.partitions()) {
-          if (membership.owned(p) != 0) {
+          if (membership.heldClaimStamp(p) != 0) {
             List.copyOf(view.machinesOf(p)).forEach(m -> lookAt(m, all));
           }
         }
@@ -200,7 +200,7 @@
     }
     deadline.tick();
     for (Partition p : membership.partitions()) {
-      long claim = membership.owned(p);
+      long claim = membership.heldClaimStamp(p);
       if (claim == 0) {
         writers.remove(p);
       } else {
@@ -213,7 +213,7 @@
   private boolean ownershipChanged() {
     long sum = 0;
     for (Partition partition : membership.partitions()) {
-      sum += membership.owned(partition);
+      sum += membership.heldClaimStamp(partition);
     }
     boolean changed = sum != ownedStamps;
     ownedStamps = sum;
@@ -222,7 +222,7 @@
 
   private void lookAt(String name, boolean all) {
     StateCache.Entry<Machine> e = view.machines.get(name);
-    long claim = e == null ? 0 : membership.owned(e.value().part());
+    long claim = e == null ? 0 : membership.heldClaimStamp(e.value().partition());
     if (claim == 0) {
       return;
     }
@@ -231,10 +231,10 @@
     if (a.addr.isEmpty()) {
       a.addr = m.addr();
     }
-    PartitionWriter l = writer(m.part(), claim);
+    PartitionWriter l = writer(m.partition(), claim);
     if (view.drains.get(name) == StateCache.Drain.GONE) {
       if (buried.add(name)) {
-        replication.gone(m.part(), name);
+        replication.machineGone(m.partition(), name);
       }
       l.dirty(name);
       return;
@@ -306,7 +306,7 @@
   private List<MachineCapacity> candidates() {
     List<MachineCapacity> found = new ArrayList<>();
     for (Partition p : membership.partitions()) {
-      long claim = membership.owned(p);
+      long claim = membership.heldClaimStamp(p);
       if (claim != 0) {
         found.addAll(placer.rooms(p, claim));
       }
@@ -318,7 +318,7 @@
   private Map<TaskId, Partition> pending() {
     Map<TaskId, Partition> found = new LinkedHashMap<>();
     for (Partition p : membership.partitions()) {
-      long claim = membership.owned(p);
+      long claim = membership.heldClaimStamp(p);
       if (claim != 0) {
         PartitionWriter l = writer(p, claim);
         view.unplaced(p).stream().filter(t -> !l.moving(t)).forEach(t -> found.put(t, p));
@@ -346,13 +346,13 @@
 
   private boolean owns(WorkerSession a) {
     StateCache.Entry<Machine> m = view.machines.get(a.name);
-    return m != null && membership.owned(m.value().part()) == a.claim
+    return m != null && membership.heldClaimStamp(m.value().partition()) == a.claim
         || clock.now() - a.since < Constants.UNREGISTERED_MS && m == null;
   }
 
   /** What this controller knows of a machine's worker; null where it does not own the machine. */
   private WorkerSession owned(Machine m) {
-    long claim = membership.owned(m.part());
+    long claim = membership.heldClaimStamp(m.partition());
     return claim == 0 ? null : session(m.name(), claim);
   }
 
@@ -374,7 +374,7 @@
   private void inherit(WorkerSession a) {
     StateCache.Entry<Machine> machine = view.machines.get(a.name);
     Replication.InheritedWorker known =
-        machine == null ? null : replication.inherited(machine.value().part(), a.name);
+        machine == null ? null : replication.inheritedWorker(machine.value().partition(), a.name);
     if (known == null) {
       return;
     }
@@ -411,7 +411,7 @@
 
     @Override
     public PartitionWriter writer(Partition part) {
-      long held = membership.owned(part);
+      long held = membership.heldClaimStamp(part);
       return held == 0 ? null : Workers.this.writer(part, held);
     }
 
@@ -423,7 +423,7 @@
 
   private void overtaken(Partition part, WorkerSession a, WorkerCodec.Report r) {
     if (r.token() >> Constants.TOKEN_BITS > a.claim) {
-      membership.overtaken(part, a.claim);
+      membership.claimSuperseded(part, a.claim);
     }
     store.refresh();
   }
@@ -465,7 +465,7 @@
       TaskId task = it.next();
       if (!r.tasks().containsKey(task) && !a.flights.containsKey(task)) {
         it.remove();
-        replication.ended(partitionOf(r), a.name, task);
+        replication.taskEnded(partitionOf(r), a.name, task);
       }
     }
   }
@@ -513,9 +513,9 @@
       a.unheeded = 0; // it answered us, so it hears us
       take(a, r, false);
       StateCache.Entry<Machine> e = view.machines.get(a.name);
-      long claim = e == null ? 0 : membership.owned(e.value().part());
+      long claim = e == null ? 0 : membership.heldClaimStamp(e.value().partition());
       if (claim == a.claim && claim != 0) {
-        PartitionWriter l = writer(e.value().part(), claim);
+        PartitionWriter l = writer(e.value().partition(), claim);
         settle(a, e.value(), l);
         commands.urgent(a, e.value(), l);
       }
--- a/src/test/java/org/baygw/control/model/PartitionRecordTest.java
+++ b/src/test/java/org/baygw/control/model/PartitionRecordTest.java
@@ -60,12 +60,12 @@
 
   @Test
   void aPageIsReadAsItWasWritten() {
-    PartitionRecord r = PartitionRecord.EMPTY.copy().withPages(4);
-    r.on().put("n-000001", PartitionRecord.tasks(Map.of(new TaskId("run-1", 3), 2)));
-    r.conditions().put("n-000001", "SILENT");
-    r.done().put("run-1", "0-2");
-    r.back().put("run-1", "5*2");
-    assertEquals(r, Records.record(Json.parse(Json.bytes(Records.record(r)))));
-    assertEquals(1, Records.record(Json.parse("{\"on\":{}}".getBytes())).pages());
+    PartitionRecord r = PartitionRecord.EMPTY.copy().withPageCount(4);
+    r.tasksByMachine().put("n-000001", PartitionRecord.tasks(Map.of(new TaskId("run-1", 3), 2)));
+    r.conditionsByMachine().put("n-000001", "SILENT");
+    r.completedByJob().put("run-1", "0-2");
+    r.requeuedByJob().put("run-1", "5*2");
+    assertEquals(r, Records.partitionRecord(Json.parse(Json.bytes(Records.partitionRecord(r)))));
+    assertEquals(1, Records.partitionRecord(Json.parse("{\"on\":{}}".getBytes())).pageCount());
   }
 }
--- a/src/test/java/org/baygw/control/sim/SimulatedCluster.java
+++ b/src/test/java/org/baygw/control/sim/SimulatedCluster.java
@@ -232,7 +232,7 @@
       if (core == null) {
         return;
       }
-      core.beginToEnd();
+      core.beginShutdown();
       awaitEnd(life, now + Constants.HANDOVER_MOST_MS);
     }
 
@@ -240,7 +240,7 @@
       if (core == null || life != mine) {
         return;
       }
-      if (core.ended() || now >= until) {
+      if (core.readyToStop() || now >= until) {
         crash();
       } else {
         after(Constants.TICK_MS, () -> awaitEnd(mine, until));
@@ -307,12 +307,12 @@
         return;
       }
       for (Outbox.Effect effect : effects) {
-        boolean withheld = orders(effect) && core.withholds(decidedAt, now);
+        boolean withheld = orders(effect) && core.withholdsOrders(decidedAt, now);
         if (orders(effect) && !withheld) {
           noteOrders(effect);
         }
         if (effect instanceof Outbox.Answer answer) {
-          respond(withheld ? Outbox.Answer.withheld(answer.request()) : answer);
+          respond(withheld ? Outbox.Answer.withheld(answer.requestId()) : answer);
         } else if (effect instanceof Outbox.Call call && withheld) {
           int mine = life;
           after(0, () -> finish(mine, call, Outbox.NOT_SENT, new byte[0]));
@@ -323,8 +323,8 @@
     }
 
     private static boolean orders(Outbox.Effect effect) {
-      return effect instanceof Outbox.Answer answer && answer.orders()
-          || effect instanceof Outbox.Call call && call.orders();
+      return effect instanceof Outbox.Answer answer && answer.carriesOrders()
+          || effect instanceof Outbox.Call call && call.carriesOrders();
     }
 
     /** Counts orders that a process which has just woken sends after others have replaced it. */
@@ -342,7 +342,7 @@
     }
 
     private void respond(Outbox.Answer answer) {
-      StateServiceStub.Respond respond = pending.remove(answer.request());
+      StateServiceStub.Respond respond = pending.remove(answer.requestId());
       if (respond != null) {
         respond.done(answer.status(), answer.body());
       }
@@ -367,7 +367,7 @@
             carryOut(
                 work.measure(
                     WorkMeter.kind(c.addr(), c.path()),
-                    () -> core.outcome(now, wall(), c.then(), status, body)),
+                    () -> core.outcome(now, wall(), c.callback(), status, body)),
                 now);
             stepSoon();
           });
