--- a/src/main/java/org/baygw/control/Controller.java
+++ b/src/main/java/org/baygw/control/Controller.java
@@ -27,7 +27,7 @@
  */
 public final class Controller {
   private final Clock clock = new Clock();
-  private final Outbox out = new Outbox();
+  private final Outbox outbox = new Outbox();
   private final StateCache view = new StateCache();
   private final Store store;
   private final Membership membership;
@@ -43,24 +43,26 @@
   private final StandbyService standby;
 
   public Controller(Settings settings, Features features) {
-    this.store = new Store(clock, out, settings, view);
+    this.store = new Store(clock, outbox, settings, view);
     boolean standbyIsOn = features.standby() != null;
     this.membership = new Membership(clock, settings, store, view, standbyIsOn);
     this.standby =
         standbyIsOn
-            ? new StandbyService(clock, out, settings, features.standby(), store, view, membership)
+            ? new StandbyService(
+                clock, outbox, settings, features.standby(), store, view, membership)
             : null;
     Replication replication = standbyIsOn ? standby : Replication.OFF;
-    this.peers = new Peers(clock, out, settings, store, view);
-    this.jobs = new Jobs(clock, out, settings, store, view, peers);
-    this.cloud = new Cloud(clock, out, settings);
+    this.peers = new Peers(clock, outbox, settings, store, view);
+    this.jobs = new Jobs(clock, outbox, settings, store, view, peers);
+    this.cloud = new Cloud(clock, outbox, settings);
     CancellationWatermark watermark = new CancellationWatermark(clock, settings, store, peers);
     this.workers =
-        new Workers(clock, out, settings, store, view, membership, watermark, cloud, replication);
+        new Workers(
+            clock, outbox, settings, store, view, membership, watermark, cloud, replication);
     this.scheduler = new Scheduler(clock, settings, store, view, membership, replication);
     this.fleet = new Fleet(clock, settings, store, view, membership, cloud, scheduler, replication);
     this.admin =
-        new Admin(clock, out, settings, store, view, membership, workers, scheduler, standby);
+        new Admin(clock, outbox, settings, store, view, membership, workers, scheduler, standby);
   }
 
   /**
@@ -83,7 +85,7 @@
     return standby == null || standby.ended();
   }
 
-  private void begin(long nowMs, long wallMs) {
+  private void beginInput(long nowMs, long wallMs) {
     clock.set(nowMs, wallMs);
     if (standby != null) {
       standby.input(nowMs);
@@ -92,47 +94,47 @@
 
   /** Handles a request on the port for users and workers. */
   public List<Outbox.Effect> request(
-      long nowMs, long wallMs, long id, String method, String path, byte[] body) {
-    begin(nowMs, wallMs);
+      long nowMs, long wallMs, long requestId, String method, String path, byte[] body) {
+    beginInput(nowMs, wallMs);
     if (path.equals("/checkin")) {
       if (method.equals("POST")) {
-        workers.checkin(id, body);
+        workers.checkin(requestId, body);
       } else {
-        out.answer(id, 405, Json.bytes(Json.object().put("error", "wrong method")));
+        outbox.answer(requestId, 405, Json.bytes(Json.object().put("error", "wrong method")));
       }
-    } else if (!jobs.handle(id, method, path, body)) {
-      out.answer(id, 404, Json.bytes(Json.object().put("error", "no such path")));
+    } else if (!jobs.handle(requestId, method, path, body)) {
+      outbox.answer(requestId, 404, Json.bytes(Json.object().put("error", "no such path")));
     }
-    return out.drain();
+    return outbox.drain();
   }
 
   /** Handles a request on the port for operators and other controllers. */
   public List<Outbox.Effect> peerRequest(
-      long nowMs, long wallMs, long id, String method, String path, byte[] body) {
-    begin(nowMs, wallMs);
+      long nowMs, long wallMs, long requestId, String method, String path, byte[] body) {
+    beginInput(nowMs, wallMs);
     if (path.equals(Peers.PATH) && method.equals("POST")) {
-      peers.receive(id, body);
+      peers.receive(requestId, body);
     } else if (standby != null && path.equals(StandbyService.PATH) && method.equals("POST")) {
-      standby.receive(id, body);
-    } else if (standby != null && standby.handle(id, method, path)) {
-      return out.drain();
-    } else if (!admin.handle(id, method, path, body)) {
-      out.answer(id, 404, Json.bytes(Json.object().put("error", "no such path")));
+      standby.receive(requestId, body);
+    } else if (standby != null && standby.handle(requestId, method, path)) {
+      return outbox.drain();
+    } else if (!admin.handle(requestId, method, path, body)) {
+      outbox.answer(requestId, 404, Json.bytes(Json.object().put("error", "no such path")));
     }
-    return out.drain();
+    return outbox.drain();
   }
 
   /** Handles the outcome of a call that the core issued; a tick should follow soon. */
   public List<Outbox.Effect> outcome(
-      long nowMs, long wallMs, Outbox.Callback then, int status, byte[] body) {
-    begin(nowMs, wallMs);
-    then.done(status, body);
-    return out.drain();
+      long nowMs, long wallMs, Outbox.Callback callback, int status, byte[] body) {
+    beginInput(nowMs, wallMs);
+    callback.done(status, body);
+    return outbox.drain();
   }
 
   /** Handles the passing of time and the outcomes received since the last tick. */
   public List<Outbox.Effect> tick(long nowMs, long wallMs) {
-    begin(nowMs, wallMs);
+    beginInput(nowMs, wallMs);
     store.tick();
     membership.tick();
     peers.tick();
@@ -144,6 +146,6 @@
     workers.round();
     fleet.tick();
     cloud.tick();
-    return out.drain();
+    return outbox.drain();
   }
 }
--- a/src/main/java/org/baygw/control/Main.java
+++ b/src/main/java/org/baygw/control/Main.java
@@ -23,16 +23,16 @@
   private Main() {}
 
   public static void main(String[] args) throws Exception {
-    setUpLog();
-    CommandLine line = new CommandLine(command());
+    configureLogging();
+    CommandLine commandLine = new CommandLine(command());
     CommandLine.ParseResult parsed;
     try {
-      parsed = line.parseArgs(args);
+      parsed = commandLine.parseArgs(args);
     } catch (CommandLine.ParameterException e) {
       throw exit(BAD_USAGE, "baygw: " + e.getMessage().replace('\n', ' '));
     }
     if (parsed.isUsageHelpRequested()) {
-      line.usage(System.out);
+      commandLine.usage(System.out);
     } else if (parsed.isVersionHelpRequested()) {
       System.out.println("baygw " + version());
     } else if (parsed.hasMatchedOption(SELF_CHECK)) {
@@ -89,7 +89,7 @@
     return version == null ? "(unpacked)" : version;
   }
 
-  private static void setUpLog() {
+  private static void configureLogging() {
     String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
     if (!level.equals("error") && !level.equals("info") && !level.equals("debug")) {
       throw exit(BAD_USAGE, "LOG_LEVEL: must be error, info or debug");
@@ -123,13 +123,13 @@
     EventLoop eventLoop = new EventLoop(settings, features);
     eventLoop.start();
     if (features.standby() != null) {
-      Runtime.getRuntime().addShutdownHook(new Thread(() -> endInOrder(eventLoop)));
+      Runtime.getRuntime().addShutdownHook(new Thread(() -> stopGracefully(eventLoop)));
     }
     LoggerFactory.getLogger(Main.class)
         .info("{} listens on port {}", settings.label(), settings.listen().port());
   }
 
-  private static void endInOrder(EventLoop eventLoop) {
+  private static void stopGracefully(EventLoop eventLoop) {
     try {
       eventLoop.stopInOrder();
     } catch (InterruptedException e) {
--- a/src/main/java/org/baygw/control/core/Json.java
+++ b/src/main/java/org/baygw/control/core/Json.java
@@ -22,7 +22,7 @@
  */
 public final class Json {
   private static final int MAX_DEPTH = 64;
-  private static final int USUAL_BYTES = 512;
+  private static final int INITIAL_BUFFER_BYTES = 512;
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
   private static final JsonFactory LENIENT = factory(false);
   private static final JsonFactory STRICT = factory(true);
@@ -111,7 +111,7 @@
 
   /** Writes the tree as UTF-8 text. */
   public static byte[] bytes(JsonNode node) {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_BYTES);
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     try (JsonGenerator generator = LENIENT.createGenerator(bytes)) {
       write(node, generator);
     } catch (IOException e) {
--- a/src/main/java/org/baygw/control/core/Outbox.java
+++ b/src/main/java/org/baygw/control/core/Outbox.java
@@ -55,40 +55,40 @@
         Json.bytes(Json.object().put("error", "another controller may have taken over"));
 
     /** Answers a worker in place of withheld orders, so that it contacts another controller. */
-    public static Answer withheld(long request) {
-      return new Answer(request, 503, WITHHELD, 0, false);
+    public static Answer withheld(long requestId) {
+      return new Answer(requestId, 503, WITHHELD, 0, false);
     }
   }
 
   private List<Effect> effects = new ArrayList<>();
 
   public void call(
-      String addr, String method, String path, byte[] body, long timeoutMs, Callback then) {
-    effects.add(new Call(addr, method, path, body, timeoutMs, then, false));
+      String addr, String method, String path, byte[] body, long timeoutMs, Callback callback) {
+    effects.add(new Call(addr, method, path, body, timeoutMs, callback, false));
   }
 
   /** Sends orders to a worker. */
-  public void sendOrders(String addr, String path, byte[] body, long timeoutMs, Callback then) {
-    effects.add(new Call(addr, "POST", path, body, timeoutMs, then, true));
+  public void sendOrders(String addr, String path, byte[] body, long timeoutMs, Callback callback) {
+    effects.add(new Call(addr, "POST", path, body, timeoutMs, callback, true));
   }
 
   /** Answers a worker's report with orders. */
-  public void answerOrders(long request, byte[] body) {
-    effects.add(new Answer(request, 200, body, 0, true));
+  public void answerOrders(long requestId, byte[] body) {
+    effects.add(new Answer(requestId, 200, body, 0, true));
   }
 
-  public void answer(long request, int status, byte[] body) {
-    effects.add(new Answer(request, status, body, 0, false));
+  public void answer(long requestId, int status, byte[] body) {
+    effects.add(new Answer(requestId, status, body, 0, false));
   }
 
-  public void answer(long request, int status, byte[] body, int retryAfterS) {
-    effects.add(new Answer(request, status, body, retryAfterS, false));
+  public void answer(long requestId, int status, byte[] body, int retryAfterS) {
+    effects.add(new Answer(requestId, status, body, retryAfterS, false));
   }
 
   /** Removes and returns the collected effects. */
   public List<Effect> drain() {
-    List<Effect> out = effects;
+    List<Effect> drained = effects;
     effects = new ArrayList<>();
-    return out;
+    return drained;
   }
 }
--- a/src/main/java/org/baygw/control/core/Replication.java
+++ b/src/main/java/org/baygw/control/core/Replication.java
@@ -82,7 +82,7 @@
   /**
    * The cloud has no capacity for a machine type, which is not requested again for {@code forMs}.
    */
-  default void capacityRefused(String type, String zone, boolean spot, long forMs) {}
+  default void capacityRefused(String type, String zone, boolean spot, long durationMs) {}
 
   /** What the former owner of the partition knew about a worker; null if nothing is known. */
   default InheritedWorker inheritedWorker(Partition partition, String machine) {
--- a/src/main/java/org/baygw/control/core/TokenBucket.java
+++ b/src/main/java/org/baygw/control/core/TokenBucket.java
@@ -4,26 +4,26 @@
 public final class TokenBucket {
   private double perMs;
   private double burst;
-  private double level;
-  private long last;
-  private long restUntil;
+  private double tokens;
+  private long lastRefillMs;
+  private long pausedUntilMs;
 
   public TokenBucket(double perSecond, double burst) {
     this.perMs = perSecond / 1000.0;
     this.burst = Math.max(1.0, burst);
-    this.level = this.burst;
+    this.tokens = this.burst;
   }
 
   /**
    * Takes n tokens if they are available. A call that needs more than the whole burst is allowed
    * when the bucket is full.
    */
-  public boolean take(long now, double n) {
-    fill(now);
-    if (now < restUntil || level < Math.min(n, burst)) {
+  public boolean take(long now, double count) {
+    refill(now);
+    if (now < pausedUntilMs || tokens < Math.min(count, burst)) {
       return false;
     }
-    level -= n;
+    tokens -= count;
     return true;
   }
 
@@ -31,19 +31,19 @@
    * Whether a call may be made whose cost is not known yet; charge() deducts the cost afterwards.
    */
   public boolean ready(long now) {
-    fill(now);
-    return now >= restUntil && level >= Math.min(1.0, burst);
+    refill(now);
+    return now >= pausedUntilMs && tokens >= Math.min(1.0, burst);
   }
 
   /** Deducts the cost of a call that ready() allowed; the level may become negative. */
-  public void charge(double n) {
-    level -= n;
+  public void charge(double count) {
+    tokens -= count;
   }
 
   /** The available share of the burst, from 0 to 1; 0 during a pause. */
   public double fullness(long now) {
-    fill(now);
-    return now < restUntil ? 0 : Math.max(0, level / burst);
+    refill(now);
+    return now < pausedUntilMs ? 0 : Math.max(0, tokens / burst);
   }
 
   /** Changes the rate and the burst. */
@@ -52,14 +52,14 @@
     burst = Math.max(1.0, newBurst);
   }
 
-  private void fill(long now) {
-    level = Math.min(burst, level + (now - last) * perMs);
-    last = now;
+  private void refill(long now) {
+    tokens = Math.min(burst, tokens + (now - lastRefillMs) * perMs);
+    lastRefillMs = now;
   }
 
   /** Allows no calls for a time, after the service has refused one. */
   public void pause(long now, long ms) {
-    restUntil = Math.max(restUntil, now + ms);
-    level = Math.min(level, 1.0);
+    pausedUntilMs = Math.max(pausedUntilMs, now + ms);
+    tokens = Math.min(tokens, 1.0);
   }
 }
--- a/src/main/java/org/baygw/control/membership/CancellationWatermark.java
+++ b/src/main/java/org/baygw/control/membership/CancellationWatermark.java
@@ -39,7 +39,7 @@
 
   /** Whether the state cache was brought up to date within the last membership lease term. */
   public boolean cacheIsCurrent() {
-    return store.currentAsOf() >= longAgo();
+    return store.currentAsOf() >= leaseCutoff();
   }
 
   /** Whether the watermark is recent enough to renew a worker's lease. */
@@ -63,13 +63,13 @@
    * changes hands in such an outage.
    */
   public boolean outageForMajority() {
-    int lives = 1;
-    for (Settings.Peer p : settings.peers()) {
-      lives += lives(p.label()) ? 1 : 0;
+    int alive = 1;
+    for (Settings.Peer peer : settings.peers()) {
+      alive += alive(peer.label()) ? 1 : 0;
     }
-    return store.lastContact() < longAgo()
+    return store.lastContact() < leaseCutoff()
         && !peers.isolatedFromStateService()
-        && 2 * lives > settings.peers().size() + 1;
+        && 2 * alive > settings.peers().size() + 1;
   }
 
   /**
@@ -77,14 +77,14 @@
    * status recently, and the state service did not refuse it alone before the outage began for all.
    */
   public boolean canRelyOnClaims(String label) {
-    return label.equals(settings.label()) || lives(label) && !peers.peerIsolated(label);
+    return label.equals(settings.label()) || alive(label) && !peers.peerIsolated(label);
   }
 
-  private boolean lives(String label) {
-    return peers.acknowledgedUntil(label) >= longAgo();
+  private boolean alive(String label) {
+    return peers.acknowledgedUntil(label) >= leaseCutoff();
   }
 
-  private long longAgo() {
+  private long leaseCutoff() {
     return clock.now() - Constants.MEMBERSHIP_LEASE_MS;
   }
 
--- a/src/main/java/org/baygw/control/membership/Membership.java
+++ b/src/main/java/org/baygw/control/membership/Membership.java
@@ -38,10 +38,10 @@
   private final Map<String, Long> firstSeen = new HashMap<>();
 
   /** Stamps of claims that are known to have ended although the state cache still has them. */
-  private final Map<String, Long> overtaken = new HashMap<>();
+  private final Map<String, Long> supersededClaims = new HashMap<>();
 
   /** Whether the leader's successor is preferably chosen from another zone than the leader's. */
-  private final boolean spreadsLeader;
+  private final boolean prefersOtherZone;
 
   /** The zone of the latest leader that this controller has seen; empty before the first one. */
   private String leaderZone = "";
@@ -49,8 +49,8 @@
   /** Steady time since which the state cache has had no leader; 0 while it has one. */
   private long leaderlessSince;
 
-  private long nextClaim;
-  private boolean claiming;
+  private long nextClaimAt;
+  private boolean claimWriteInFlight;
 
   /**
    * Creates the membership of this controller.
@@ -58,8 +58,8 @@
    * @param spreadsLeader whether the leader's successor is preferably chosen from another zone
    */
   public Membership(
-      Clock clock, Settings settings, Store store, StateCache view, boolean spreadsLeader) {
-    this.spreadsLeader = spreadsLeader;
+      Clock clock, Settings settings, Store store, StateCache view, boolean prefersOtherZone) {
+    this.prefersOtherZone = prefersOtherZone;
     this.clock = clock;
     this.settings = settings;
     this.store = store;
@@ -85,10 +85,10 @@
   public long heldClaimStamp(String role) {
     StateCache.Entry<StateCache.Claim> claim = view.claims.get(role);
     return claim != null
-            && lease.current() != 0
-            && claim.value().hold() == lease.current()
+            && lease.currentLeaseId() != 0
+            && claim.value().hold() == lease.currentLeaseId()
             && view.revision() >= claim.stamp()
-            && claim.stamp() > overtaken.getOrDefault(role, 0L)
+            && claim.stamp() > supersededClaims.getOrDefault(role, 0L)
         ? claim.stamp()
         : 0;
   }
@@ -101,7 +101,7 @@
    * @param stamp the stamp of this controller's claim
    */
   public void claimSuperseded(Partition partition, long stamp) {
-    if (overtaken.merge(partition.toString(), stamp, Math::max) == stamp) {
+    if (supersededClaims.merge(partition.toString(), stamp, Math::max) == stamp) {
       LOG.info("partition {} was taken over by another controller", partition);
     }
   }
@@ -151,11 +151,11 @@
       return null;
     }
     return role.equals(Keys.LEADER)
-        ? leaderAmong(others)
-        : assignment.among(able(others)).get(Partition.parse(role));
+        ? chooseLeader(others)
+        : assignment.ownersAmong(eligible(others)).get(Partition.parse(role));
   }
 
-  private String leaderAmong(Set<String> controllers) {
+  private String chooseLeader(Set<String> controllers) {
     Set<String> staying = staying(controllers);
     Set<String> elsewhere = new HashSet<>(staying);
     elsewhere.removeIf(label -> assignment.zoneOf(label).equals(leaderZone));
@@ -163,8 +163,9 @@
     // for a different one. After LEADERLESS_MS all of them therefore ignore the leader's zone.
     boolean mayDisagree =
         leaderlessSince != 0 && clock.now() - leaderlessSince > Constants.LEADERLESS_MS;
-    boolean spread = spreadsLeader && !mayDisagree && !leaderZone.isEmpty() && !elsewhere.isEmpty();
-    return assignment.best(Keys.LEADER, "", spread ? elsewhere : staying);
+    boolean avoidLeaderZone =
+        prefersOtherZone && !mayDisagree && !leaderZone.isEmpty() && !elsewhere.isEmpty();
+    return assignment.best(Keys.LEADER, "", avoidLeaderZone ? elsewhere : staying);
   }
 
   /** Whether this controller's member key marks it as leaving. */
@@ -174,8 +175,8 @@
   }
 
   /** Stores in this controller's member key whether it is leaving. */
-  public void setLeaving(boolean leaves) {
-    lease.leaving(leaves);
+  public void setLeaving(boolean leaving) {
+    lease.setLeaving(leaving);
   }
 
   /** Whether another live controller is not leaving. */
@@ -192,30 +193,30 @@
    *
    * @return false if another write of claims is in progress
    */
-  public boolean release(Consumer<Boolean> then) {
-    if (claiming) {
+  public boolean release(Consumer<Boolean> onOutcome) {
+    if (claimWriteInFlight) {
       return false;
     }
-    Txn release = new Txn();
+    Txn txn = new Txn();
     for (String role : roles()) {
       long stamp = heldClaimStamp(role);
-      if (stamp != 0 && release.writes() < settings.state().txnOps()) {
-        release.when(Keys.claim(role), stamp).delete(Keys.claim(role));
+      if (stamp != 0 && txn.writes() < settings.state().txnOps()) {
+        txn.when(Keys.claim(role), stamp).delete(Keys.claim(role));
       }
     }
-    if (release.writes() == 0) {
-      then.accept(true);
+    if (txn.writes() == 0) {
+      onOutcome.accept(true);
       return true;
     }
-    claiming = true;
+    claimWriteInFlight = true;
     store.settle(
         Store.Urgency.HOLD,
-        release,
+        txn,
         Constants.STATE_TIMEOUT_MS,
         ok -> {
-          claiming = false;
-          LOG.info("{} {}", ok ? "released" : "could not release", release.then());
-          then.accept(ok);
+          claimWriteInFlight = false;
+          LOG.info("{} {}", ok ? "released" : "could not release", txn.then());
+          onOutcome.accept(ok);
         });
     return true;
   }
@@ -227,14 +228,14 @@
 
   /** Whether this controller's membership has ended permanently. */
   public boolean hasLeft() {
-    return lease.left();
+    return lease.hasLeft();
   }
 
   /** The label of the controller that owns the partition, or null. */
   public String owner(Partition partition) {
     StateCache.Entry<StateCache.Claim> claim = view.claims.get(partition.toString());
     boolean over =
-        claim == null || claim.stamp() <= overtaken.getOrDefault(partition.toString(), 0L);
+        claim == null || claim.stamp() <= supersededClaims.getOrDefault(partition.toString(), 0L);
     return over ? null : claim.value().owner();
   }
 
@@ -248,17 +249,17 @@
     StateCache.Entry<StateCache.Claim> leader = view.claims.get(Keys.LEADER);
     leaderZone = leader == null ? leaderZone : assignment.zoneOf(leader.value().owner());
     leaderlessSince = leader != null ? 0 : leaderlessSince == 0 ? now : leaderlessSince;
-    boolean joined = lease.current() != 0;
+    boolean joined = lease.currentLeaseId() != 0;
     lease.tick();
     if (!store.loaded() || !joined) {
       return;
     }
     store.share(leaderClaimStamp() != 0);
-    if (!claiming && now >= nextClaim && view.members.containsKey(settings.label())) {
+    if (!claimWriteInFlight && now >= nextClaimAt && view.members.containsKey(settings.label())) {
       if (view.partitionsPerZone() == 0) {
-        layOut();
+        storeLayout();
       } else {
-        claims();
+        updateClaims();
       }
     }
   }
@@ -267,8 +268,8 @@
    * Stores the number of partitions per zone, which never changes afterwards: two controllers with
    * different numbers would look for a machine's tasks in different records.
    */
-  private void layOut() {
-    claiming = true;
+  private void storeLayout() {
+    claimWriteInFlight = true;
     int perZone = assignment.initialPerZone();
     store.txn(
         Store.Urgency.HOLD,
@@ -277,8 +278,8 @@
             .put(Keys.LAYOUT, Json.object().put("partitions_per_zone", perZone)),
         Constants.STATE_TIMEOUT_MS,
         outcome -> {
-          claiming = false;
-          nextClaim = clock.now() + Constants.CLAIM_CHECK_MS;
+          claimWriteInFlight = false;
+          nextClaimAt = clock.now() + Constants.CLAIM_CHECK_MS;
         });
   }
 
@@ -305,56 +306,57 @@
    * Stores in this controller's member key whether it reaches the workers of its zone. If it does
    * not, others take over its partitions.
    */
-  public void workersReachable(boolean can) {
-    lease.reaches(can);
+  public void workersReachable(boolean reachable) {
+    lease.setWorkersReachable(reachable);
   }
 
   /** Claims free roles that are assigned to this controller, or else hands over one partition. */
-  private void claims() {
-    Txn take = take();
-    Txn next = take.writes() > 0 || leaving() ? take : give();
-    if (next.writes() == 0) {
-      nextClaim = clock.now() + Constants.CLAIM_CHECK_MS;
+  private void updateClaims() {
+    Txn claimTxn = claimTxn();
+    Txn txn = claimTxn.writes() > 0 || leaving() ? claimTxn : handoverTxn();
+    if (txn.writes() == 0) {
+      nextClaimAt = clock.now() + Constants.CLAIM_CHECK_MS;
       return;
     }
-    claiming = true;
+    claimWriteInFlight = true;
     store.txn(
         Store.Urgency.HOLD,
-        next,
+        txn,
         Constants.STATE_TIMEOUT_MS,
         outcome -> {
-          claiming = false;
-          nextClaim = clock.now() + (outcome == Store.Outcome.OK ? 0 : Constants.CLAIM_RETRY_MS);
+          claimWriteInFlight = false;
+          nextClaimAt = clock.now() + (outcome == Store.Outcome.OK ? 0 : Constants.CLAIM_RETRY_MS);
           if (outcome == Store.Outcome.OK) {
-            LOG.info("{} {}", next == take ? "took" : "handed over", next.then());
+            LOG.info("{} {}", txn == claimTxn ? "took" : "handed over", txn.then());
           }
         });
   }
 
-  private Txn take() {
+  private Txn claimTxn() {
     List<String> wanted = new ArrayList<>();
     if (!view.claims.containsKey(Keys.LEADER)
-        && settings.label().equals(leaderAmong(view.members.keySet()))) {
+        && settings.label().equals(chooseLeader(view.members.keySet()))) {
       wanted.add(Keys.LEADER);
     }
-    Map<Partition, String> owners = assignment.among(expected());
+    Map<Partition, String> owners = assignment.ownersAmong(expectedMembers());
     for (Partition partition : partitions()) {
       if (!view.claims.containsKey(partition.toString())
           && settings.label().equals(owners.get(partition))) {
         wanted.add(partition.toString());
       }
     }
-    Txn take = new Txn();
-    int most = Math.max(1, settings.state().txnOps() / 2);
-    for (String role : wanted.subList(0, Math.min(most, wanted.size()))) {
-      ObjectNode claim = Json.object().put("owner", settings.label()).put("hold", lease.current());
-      take.when(Keys.claim(role), 0).put(Keys.claim(role), claim, lease.current());
+    Txn txn = new Txn();
+    int maxRoles = Math.max(1, settings.state().txnOps() / 2);
+    for (String role : wanted.subList(0, Math.min(maxRoles, wanted.size()))) {
+      ObjectNode claim =
+          Json.object().put("owner", settings.label()).put("hold", lease.currentLeaseId());
+      txn.when(Keys.claim(role), 0).put(Keys.claim(role), claim, lease.currentLeaseId());
     }
-    return take;
+    return txn;
   }
 
-  private Txn give() {
-    Map<Partition, String> owners = assignment.among(settled());
+  private Txn handoverTxn() {
+    Map<Partition, String> owners = assignment.ownersAmong(settledMembers());
     for (Partition partition : partitions()) {
       long stamp = heldClaimStamp(partition);
       if (stamp != 0 && !settings.label().equals(owners.get(partition))) {
@@ -371,30 +373,30 @@
    * controllers restart together, the first one would claim every partition, be overloaded by all
    * workers, and hand most partitions over again.
    */
-  private Set<String> expected() {
-    Set<String> out = able(view.members.keySet());
+  private Set<String> expectedMembers() {
+    Set<String> members = eligible(view.members.keySet());
     if (clock.now() - lease.joinedAt() < Constants.JOIN_GRACE_MS) {
-      settings.peers().forEach(peer -> out.add(peer.label()));
+      settings.peers().forEach(peer -> members.add(peer.label()));
     }
-    return out;
+    return members;
   }
 
   /** Whether another zone has controllers in the settings, but none of them is a live member. */
   public boolean lostAllControllers(String zone) {
-    boolean some = false;
+    boolean configured = false;
     for (Settings.Peer peer : settings.peers()) {
-      boolean here = peer.zone().equals(zone);
-      if (here && view.members.containsKey(peer.label())) {
+      boolean inZone = peer.zone().equals(zone);
+      if (inZone && view.members.containsKey(peer.label())) {
         return false;
       }
-      some |= here;
+      configured |= inZone;
     }
-    return some && !settings.zone().equals(zone);
+    return configured && !settings.zone().equals(zone);
   }
 
   /** The controller to which a partition without an owner is assigned, or null. */
   public String assignedOwner(Partition partition) {
-    return assignment.among(able(view.members.keySet())).get(partition);
+    return assignment.ownersAmong(eligible(view.members.keySet())).get(partition);
   }
 
   /**
@@ -406,34 +408,34 @@
   }
 
   /** Live controllers that have been seen long enough for partitions to be handed to them. */
-  private Set<String> settled() {
-    Set<String> out = new HashSet<>();
+  private Set<String> settledMembers() {
+    Set<String> members = new HashSet<>();
     firstSeen.forEach(
         (label, since) -> {
           if (clock.now() - since >= Constants.MEMBER_STABLE_MS || label.equals(settings.label())) {
-            out.add(label);
+            members.add(label);
           }
         });
-    return able(out);
+    return eligible(members);
   }
 
   /**
    * The given controllers that are not leaving and reach their workers; if none reaches its
    * workers, all that are not leaving.
    */
-  private Set<String> able(Set<String> among) {
-    Set<String> staying = staying(among);
-    Set<String> out = new HashSet<>(staying);
-    out.removeIf(
+  private Set<String> eligible(Set<String> controllers) {
+    Set<String> staying = staying(controllers);
+    Set<String> eligible = new HashSet<>(staying);
+    eligible.removeIf(
         label -> view.members.containsKey(label) && !view.members.get(label).value().reaches());
-    return out.isEmpty() ? staying : out;
+    return eligible.isEmpty() ? staying : eligible;
   }
 
   /** The given controllers that are not leaving; all of them if all are leaving. */
-  private Set<String> staying(Set<String> among) {
-    Set<String> out = new HashSet<>(among);
-    out.removeIf(
+  private Set<String> staying(Set<String> controllers) {
+    Set<String> staying = new HashSet<>(controllers);
+    staying.removeIf(
         label -> view.members.containsKey(label) && view.members.get(label).value().leaving());
-    return out.isEmpty() ? new HashSet<>(among) : out;
+    return staying.isEmpty() ? new HashSet<>(controllers) : staying;
   }
 }
--- a/src/main/java/org/baygw/control/membership/MembershipLease.java
+++ b/src/main/java/org/baygw/control/membership/MembershipLease.java
@@ -25,29 +25,29 @@
   private final StateCache view;
 
   /** The lease that the member key is attached to; 0 before joining and after its expiry. */
-  private long current;
+  private long currentLeaseId;
 
   /** A lease that was obtained but is not used yet; 0 if there is none. */
-  private long prepared;
+  private long preparedLeaseId;
 
   private long preparedAt;
   private long joinedAt;
 
   /** The latest lease of this controller that is known to have ended. */
-  private long ended;
+  private long endedLeaseId;
 
   /** The steady time until which the current lease is guaranteed to be valid. */
   private long validUntil = Long.MIN_VALUE;
 
-  private long preparedUntil;
-  private boolean busy;
-  private boolean updating;
+  private long preparedValidUntil;
+  private boolean requestInFlight;
+  private boolean updateInFlight;
   private boolean leaving;
 
   /** Whether this controller has ended its lease and obtains no other. */
-  private boolean left;
+  private boolean hasLeft;
 
-  private long nextTry;
+  private long nextAttemptAt;
 
   MembershipLease(Clock clock, Settings settings, Store store, StateCache view) {
     this.clock = clock;
@@ -57,8 +57,8 @@
   }
 
   /** The ID of the current lease, or 0 if there is none. */
-  long current() {
-    return current;
+  long currentLeaseId() {
+    return currentLeaseId;
   }
 
   /**
@@ -66,12 +66,12 @@
    * not answer; {@code Long.MIN_VALUE} if there is no lease.
    */
   long validUntil() {
-    return current == 0 ? Long.MIN_VALUE : validUntil;
+    return currentLeaseId == 0 ? Long.MIN_VALUE : validUntil;
   }
 
   /** Whether this controller has ended its membership permanently. */
-  boolean left() {
-    return left;
+  boolean hasLeft() {
+    return hasLeft;
   }
 
   long joinedAt() {
@@ -81,14 +81,14 @@
   /** Obtains a lease, joins with it or renews it, whichever is due. */
   void tick() {
     long now = clock.now();
-    if (busy || left || now < nextTry) {
+    if (requestInFlight || hasLeft || now < nextAttemptAt) {
       return;
     }
     if (!store.loaded()) {
-      if (current == 0 && prepared == 0) {
+      if (currentLeaseId == 0 && preparedLeaseId == 0) {
         prepare(); // in parallel with reading the keys
       }
-    } else if (current == 0) {
+    } else if (currentLeaseId == 0) {
       join();
     } else {
       renew();
@@ -96,93 +96,93 @@
   }
 
   private void join() {
-    StateCache.Entry<StateCache.Member> before = view.members.get(settings.label());
-    if (before != null && before.value().hold() != ended) {
+    StateCache.Entry<StateCache.Member> previous = view.members.get(settings.label());
+    if (previous != null && previous.value().hold() != endedLeaseId) {
       // The member key of this controller's former process. Ending its lease frees its claims now.
-      end(before.value().hold());
+      endLease(previous.value().hold());
       return;
     }
-    long taken = prepared;
-    prepared = 0;
-    if (taken != 0 && clock.now() - preparedAt < Constants.MEMBERSHIP_RENEWAL_MS) {
-      enter(taken);
+    long leaseId = preparedLeaseId;
+    preparedLeaseId = 0;
+    if (leaseId != 0 && clock.now() - preparedAt < Constants.MEMBERSHIP_RENEWAL_MS) {
+      register(leaseId);
     } else {
       prepare();
     }
   }
 
-  private void end(long lease) {
+  private void endLease(long leaseId) {
     request(
         "DELETE",
-        "/holds/" + lease,
+        "/holds/" + leaseId,
         null,
         (status, body) -> {
           if (status == 200 || status == 204 || status == 404) {
-            ended = lease;
+            endedLeaseId = leaseId;
           } else {
-            nextTry = clock.now() + Constants.STATE_RETRY_MS;
+            nextAttemptAt = clock.now() + Constants.STATE_RETRY_MS;
           }
         });
   }
 
   /** Obtains a lease for joining. It has no effect until the member key is attached to it. */
   private void prepare() {
-    ObjectNode ask = Json.object().put("ttlMs", Constants.MEMBERSHIP_LEASE_MS);
-    long until = certainlyUntil();
+    ObjectNode leaseRequest = Json.object().put("ttlMs", Constants.MEMBERSHIP_LEASE_MS);
+    long guaranteedUntil = guaranteedUntil();
     request(
         "POST",
         "/holds",
-        Json.bytes(ask),
+        Json.bytes(leaseRequest),
         (status, body) -> {
           boolean ok = status == 200 || status == 201;
-          long taken = ok ? Json.parse(body).path("hold").asLong() : 0;
-          if (taken == 0) {
-            nextTry = clock.now() + Constants.STATE_RETRY_MS;
+          long leaseId = ok ? Json.parse(body).path("hold").asLong() : 0;
+          if (leaseId == 0) {
+            nextAttemptAt = clock.now() + Constants.STATE_RETRY_MS;
           } else {
-            prepared = taken;
-            preparedUntil = until;
+            preparedLeaseId = leaseId;
+            preparedValidUntil = guaranteedUntil;
             preparedAt = clock.now();
           }
         });
   }
 
-  private void enter(long taken) {
-    busy = true;
+  private void register(long leaseId) {
+    requestInFlight = true;
     String key = Keys.member(settings.label());
     store.txn(
         Store.Urgency.HOLD,
-        new Txn().put(key, member(taken, true), taken),
+        new Txn().put(key, memberValue(leaseId, true), leaseId),
         Constants.STATE_TIMEOUT_MS,
         outcome -> {
-          busy = false;
+          requestInFlight = false;
           if (outcome == Store.Outcome.OK) {
-            current = taken;
-            validUntil = preparedUntil;
+            currentLeaseId = leaseId;
+            validUntil = preparedValidUntil;
             joinedAt = clock.now();
-            nextTry = clock.now() + Constants.MEMBERSHIP_RENEWAL_MS;
-            LOG.info("joined the cluster with membership lease {}", taken);
+            nextAttemptAt = clock.now() + Constants.MEMBERSHIP_RENEWAL_MS;
+            LOG.info("joined the cluster with membership lease {}", leaseId);
           } else {
-            nextTry = clock.now() + Constants.STATE_RETRY_MS;
+            nextAttemptAt = clock.now() + Constants.STATE_RETRY_MS;
           }
         });
   }
 
   private void renew() {
-    long renewed = current;
-    long until = certainlyUntil();
+    long leaseId = currentLeaseId;
+    long guaranteedUntil = guaranteedUntil();
     request(
         "POST",
-        "/holds/" + renewed + "/touch",
+        "/holds/" + leaseId + "/touch",
         new byte[0],
         (status, body) -> {
           if (status == 404) {
-            LOG.warn("membership lease {} expired", renewed);
-            current = 0;
-            ended = renewed;
+            LOG.warn("membership lease {} expired", leaseId);
+            currentLeaseId = 0;
+            endedLeaseId = leaseId;
           } else if (status == 200) {
-            validUntil = until;
+            validUntil = guaranteedUntil;
           }
-          nextTry =
+          nextAttemptAt =
               clock.now()
                   + (status == 200 ? Constants.MEMBERSHIP_RENEWAL_MS : Constants.STATE_RETRY_MS);
         });
@@ -192,38 +192,38 @@
    * The steady time until which a lease requested or renewed now is guaranteed to be valid,
    * allowing for clock drift.
    */
-  private long certainlyUntil() {
+  private long guaranteedUntil() {
     return clock.now() + (long) (Constants.MEMBERSHIP_LEASE_MS * (1 - Constants.DRIFT));
   }
 
   /** Ends the lease and with it all claims, and obtains no other. */
   void leave() {
-    if (busy || left) {
+    if (requestInFlight || hasLeft) {
       return;
     }
-    if (current == 0) {
-      left = true;
+    if (currentLeaseId == 0) {
+      hasLeft = true;
       return;
     }
     request(
         "DELETE",
-        "/holds/" + current,
+        "/holds/" + currentLeaseId,
         null,
         (status, body) -> {
-          left = status == 200 || status == 204 || status == 404;
-          if (left) {
-            LOG.info("left the cluster; membership lease {} ended", current);
-            current = 0;
+          hasLeft = status == 200 || status == 204 || status == 404;
+          if (hasLeft) {
+            LOG.info("left the cluster; membership lease {} ended", currentLeaseId);
+            currentLeaseId = 0;
           }
         });
   }
 
-  private interface Answer {
+  private interface ResponseHandler {
     void done(int status, byte[] body);
   }
 
-  private void request(String method, String path, byte[] body, Answer then) {
-    busy = true;
+  private void request(String method, String path, byte[] body, ResponseHandler handler) {
+    requestInFlight = true;
     store.request(
         Store.Urgency.HOLD,
         method,
@@ -233,57 +233,59 @@
         Constants.STATE_TIMEOUT_MS,
         Constants.STATE_TIMEOUT_MS,
         (status, answer) -> {
-          busy = false;
-          then.done(status, answer);
+          requestInFlight = false;
+          handler.done(status, answer);
         });
   }
 
-  private ObjectNode member(long lease, boolean reaches) {
+  private ObjectNode memberValue(long leaseId, boolean reaches) {
     ObjectNode member = Json.object().put("zone", settings.zone());
-    member.put("hold", lease).put("reaches", reaches);
+    member.put("hold", leaseId).put("reaches", reaches);
     return leaving ? member.put("leaving", true) : member;
   }
 
   /** Stores in the member key whether this controller reaches the workers of its zone. */
-  void reaches(boolean can) {
+  void setWorkersReachable(boolean reachable) {
     StateCache.Entry<StateCache.Member> entry = view.members.get(settings.label());
-    if (entry != null && entry.value().reaches() != can) {
-      update(
+    if (entry != null && entry.value().reaches() != reachable) {
+      updateMember(
           entry,
-          can,
-          () -> LOG.info("{} the workers of its zone", can ? "reaches" : "does not reach"));
+          reachable,
+          () -> LOG.info("{} the workers of its zone", reachable ? "reaches" : "does not reach"));
     }
   }
 
   /** Stores in the member key whether this controller is leaving, so that others take its roles. */
-  void leaving(boolean leaves) {
-    leaving = leaves;
+  void setLeaving(boolean isLeaving) {
+    leaving = isLeaving;
     StateCache.Entry<StateCache.Member> entry = view.members.get(settings.label());
-    if (entry != null && entry.value().leaving() != leaves) {
-      update(
+    if (entry != null && entry.value().leaving() != isLeaving) {
+      updateMember(
           entry,
           entry.value().reaches(),
           () ->
               LOG.info(
-                  leaves ? "marked as leaving: others take its roles" : "accepts roles again"));
+                  isLeaving ? "marked as leaving: others take its roles" : "accepts roles again"));
     }
   }
 
-  private void update(
-      StateCache.Entry<StateCache.Member> entry, boolean reaches, Runnable written) {
-    if (updating || entry.value().hold() != current) {
+  private void updateMember(
+      StateCache.Entry<StateCache.Member> entry, boolean reaches, Runnable onWritten) {
+    if (updateInFlight || entry.value().hold() != currentLeaseId) {
       return;
     }
-    updating = true;
+    updateInFlight = true;
     String key = Keys.member(settings.label());
     store.txn(
         Store.Urgency.HOLD,
-        new Txn().when(key, entry.stamp()).put(key, member(current, reaches), current),
+        new Txn()
+            .when(key, entry.stamp())
+            .put(key, memberValue(currentLeaseId, reaches), currentLeaseId),
         Constants.STATE_TIMEOUT_MS,
         outcome -> {
-          updating = false;
+          updateInFlight = false;
           if (outcome == Store.Outcome.OK) {
-            written.run();
+            onWritten.run();
           }
         });
   }
--- a/src/main/java/org/baygw/control/membership/PartitionAssignment.java
+++ b/src/main/java/org/baygw/control/membership/PartitionAssignment.java
@@ -21,7 +21,7 @@
   private final StateCache view;
 
   /** Cached assignments by the controllers and zones that they were computed for. */
-  private final Map<Set<String>, Map<Partition, String>> known = new HashMap<>();
+  private final Map<Set<String>, Map<Partition, String>> cache = new HashMap<>();
 
   PartitionAssignment(Settings settings, StateCache view) {
     this.settings = settings;
@@ -29,14 +29,14 @@
   }
 
   /** The owner of each partition when the partitions are divided among these controllers. */
-  Map<Partition, String> among(Set<String> controllers) {
-    if (known.size() > Constants.CACHED_ASSIGNMENTS) {
-      known.clear();
+  Map<Partition, String> ownersAmong(Set<String> controllers) {
+    if (cache.size() > Constants.CACHED_ASSIGNMENTS) {
+      cache.clear();
     }
     Set<String> key = new HashSet<>();
     controllers.forEach(label -> key.add(label + "|" + zoneOf(label)));
     key.add(String.valueOf(view.partitionsPerZone()));
-    return known.computeIfAbsent(key, k -> assign(controllers, view.partitionsPerZone()));
+    return cache.computeIfAbsent(key, k -> assign(controllers, view.partitionsPerZone()));
   }
 
   /**
@@ -86,19 +86,19 @@
 
   private void assignZone(
       String zone, Set<String> controllers, int perZone, Map<Partition, String> owners) {
-    Set<String> near = new HashSet<>(controllers);
-    near.removeIf(label -> !zoneOf(label).equals(zone));
-    Set<String> eligible = near.isEmpty() ? controllers : near;
-    int most = (perZone + eligible.size() - 1) / Math.max(1, eligible.size());
-    Map<String, Integer> owned = new HashMap<>();
-    for (int i = 0; i < perZone; i++) {
-      Partition partition = new Partition(zone, i);
-      Set<String> free = new HashSet<>(eligible);
-      free.removeIf(label -> owned.getOrDefault(label, 0) >= most);
-      String best = best(partition.toString(), zone, free);
+    Set<String> local = new HashSet<>(controllers);
+    local.removeIf(label -> !zoneOf(label).equals(zone));
+    Set<String> eligible = local.isEmpty() ? controllers : local;
+    int maxPerController = (perZone + eligible.size() - 1) / Math.max(1, eligible.size());
+    Map<String, Integer> counts = new HashMap<>();
+    for (int index = 0; index < perZone; index++) {
+      Partition partition = new Partition(zone, index);
+      Set<String> available = new HashSet<>(eligible);
+      available.removeIf(label -> counts.getOrDefault(label, 0) >= maxPerController);
+      String best = best(partition.toString(), zone, available);
       if (best != null) {
         owners.put(partition, best);
-        owned.merge(best, 1, Integer::sum);
+        counts.merge(best, 1, Integer::sum);
       }
     }
   }
@@ -118,9 +118,9 @@
   }
 
   private boolean precedes(String label, String other, String role, String zone) {
-    boolean near = zoneOf(label).equals(zone);
-    if (near != zoneOf(other).equals(zone)) {
-      return near;
+    boolean local = zoneOf(label).equals(zone);
+    if (local != zoneOf(other).equals(zone)) {
+      return local;
     }
     int score = score(role, label);
     int otherScore = score(role, other);
--- a/src/main/java/org/baygw/control/membership/Peers.java
+++ b/src/main/java/org/baygw/control/membership/Peers.java
@@ -24,26 +24,26 @@
   public static final String PATH = "/peer/status";
 
   /** The latest status of a peer and the steady time of its receipt. */
-  private record Seen(long at, long stateAgeMs, long revision) {}
+  private record ReceivedStatus(long receivedAtMs, long stateAgeMs, long revision) {}
 
   private final Clock clock;
-  private final Outbox out;
+  private final Outbox outbox;
   private final Settings settings;
   private final Store store;
   private final StateCache view;
-  private final Map<String, Seen> seen = new HashMap<>();
+  private final Map<String, ReceivedStatus> latestStatus = new HashMap<>();
 
   /** For each peer, the sending time of the latest request that it acknowledged. */
-  private final Map<String, Long> acknowledged = new HashMap<>();
+  private final Map<String, Long> acknowledgedAt = new HashMap<>();
 
   private final long periodMs;
   private long nextSend;
   private long lastSend = Long.MIN_VALUE / 2;
   private boolean urgent;
 
-  public Peers(Clock clock, Outbox out, Settings settings, Store store, StateCache view) {
+  public Peers(Clock clock, Outbox outbox, Settings settings, Store store, StateCache view) {
     this.clock = clock;
-    this.out = out;
+    this.outbox = outbox;
     this.settings = settings;
     this.store = store;
     this.view = view;
@@ -60,20 +60,22 @@
     urgent = false;
     lastSend = now;
     nextSend = now + periodMs;
-    for (Settings.Peer p : settings.peers()) {
-      Seen last = seen.get(p.label());
-      out.call(
-          p.addr(),
+    for (Settings.Peer peer : settings.peers()) {
+      ReceivedStatus last = latestStatus.get(peer.label());
+      outbox.call(
+          peer.addr(),
           "POST",
           PATH,
           encode(last == null ? view.revision() : last.revision()),
           periodMs,
           (status, body) -> {
-            PeerStatus s = status == 200 ? learn(body) : null;
-            if (s != null && s.cancellationsComplete() && s.label().equals(p.label())) {
+            PeerStatus peerStatus = status == 200 ? apply(body) : null;
+            if (peerStatus != null
+                && peerStatus.cancellationsComplete()
+                && peerStatus.label().equals(peer.label())) {
               // The peer answered after the request was sent and listed every cancellation that it
               // had confirmed by then, so the acknowledgement covers the sending time.
-              acknowledged.merge(p.label(), now, Math::max);
+              acknowledgedAt.merge(peer.label(), now, Math::max);
             }
           });
     }
@@ -91,25 +93,25 @@
    */
   long acknowledgedUntil() {
     long until = clock.now();
-    for (Settings.Peer p : settings.peers()) {
-      until = Math.min(until, acknowledgedUntil(p.label()));
+    for (Settings.Peer peer : settings.peers()) {
+      until = Math.min(until, acknowledgedUntil(peer.label()));
     }
     return until;
   }
 
   /** The time up to which every cancellation that this peer may have confirmed is known here. */
-  long acknowledgedUntil(String sibling) {
-    return acknowledged.getOrDefault(sibling, Long.MIN_VALUE / 2);
+  long acknowledgedUntil(String peer) {
+    return acknowledgedAt.getOrDefault(peer, Long.MIN_VALUE / 2);
   }
 
   /** Handles a peer's status and answers with this controller's own. */
-  public void receive(long request, byte[] body) {
-    PeerStatus s = learn(body);
-    if (s != null) {
-      out.answer(request, 200, encode(s.revision()));
+  public void receive(long requestId, byte[] body) {
+    PeerStatus status = apply(body);
+    if (status != null) {
+      outbox.answer(requestId, 200, encode(status.revision()));
     } else {
-      out.answer(
-          request,
+      outbox.answer(
+          requestId,
           400,
           Json.bytes(Json.object().put("error", "not a valid status of a known controller")));
     }
@@ -123,8 +125,9 @@
     // Compares times of the last answers, not ages: in an outage all controllers were last answered
     // at about the same time, and an old status from just before the outage must not look as if the
     // service refused only this controller.
-    for (Seen s : seen.values()) {
-      if (s.at() - s.stateAgeMs() - store.lastContact() > Constants.STATE_ISOLATION_MS) {
+    for (ReceivedStatus status : latestStatus.values()) {
+      if (status.receivedAtMs() - status.stateAgeMs() - store.lastContact()
+          > Constants.STATE_ISOLATION_MS) {
         return true;
       }
     }
@@ -135,26 +138,28 @@
    * Whether the state service seems to refuse only the peer: it answered this controller noticeably
    * later.
    */
-  boolean peerIsolated(String sibling) {
-    Seen s = seen.get(sibling);
-    return s != null
-        && store.lastContact() - s.at() + s.stateAgeMs() > Constants.STATE_ISOLATION_MS;
+  boolean peerIsolated(String peer) {
+    ReceivedStatus status = latestStatus.get(peer);
+    return status != null
+        && store.lastContact() - status.receivedAtMs() + status.stateAgeMs()
+            > Constants.STATE_ISOLATION_MS;
   }
 
   /** Decodes a peer's status and applies it; null if the body is not a peer's status. */
-  private PeerStatus learn(byte[] body) {
+  private PeerStatus apply(byte[] body) {
     PeerStatus status;
     try {
       status = PeerStatusCodec.decode(body);
     } catch (IOException | RuntimeException e) {
       return null; // not a status
     }
-    if (settings.peers().stream().noneMatch(p -> p.label().equals(status.label()))) {
+    if (settings.peers().stream().noneMatch(peer -> peer.label().equals(status.label()))) {
       return null;
     }
-    seen.put(status.label(), new Seen(clock.now(), status.stateAgeMs(), status.revision()));
-    for (PeerStatus.Cancellation c : status.cancellations()) {
-      view.toldCancelled(c.job(), c.stamp(), c.cancelledMs());
+    latestStatus.put(
+        status.label(), new ReceivedStatus(clock.now(), status.stateAgeMs(), status.revision()));
+    for (PeerStatus.Cancellation cancellation : status.cancellations()) {
+      view.toldCancelled(cancellation.job(), cancellation.stamp(), cancellation.cancelledMs());
     }
     if (status.revision() > view.revision()) {
       store.refresh();
@@ -163,23 +168,25 @@
   }
 
   /** Encodes this controller's status for a peer whose state cache has reached the revision. */
-  private byte[] encode(long revision) {
+  private byte[] encode(long peerRevision) {
     List<PeerStatus.Cancellation> cancellations = new ArrayList<>();
-    view.cancelledAfter(revision)
+    view.cancelledAfter(peerRevision)
         .forEach(
             (stamp, jobs) ->
                 jobs.forEach(
-                    j ->
+                    job ->
                         cancellations.add(
-                            new PeerStatus.Cancellation(j, stamp, view.cancelledMs(j)))));
-    boolean all = cancellations.size() <= Constants.CANCELLATIONS_PER_STATUS;
-    PeerStatus s =
+                            new PeerStatus.Cancellation(job, stamp, view.cancelledMs(job)))));
+    boolean complete = cancellations.size() <= Constants.CANCELLATIONS_PER_STATUS;
+    PeerStatus status =
         new PeerStatus(
             settings.label(),
             view.revision(),
             Math.max(0, Math.min(clock.now() - store.lastContact(), Integer.MAX_VALUE)),
-            store.loaded() && all,
-            all ? cancellations : cancellations.subList(0, Constants.CANCELLATIONS_PER_STATUS));
-    return PeerStatusCodec.encode(s);
+            store.loaded() && complete,
+            complete
+                ? cancellations
+                : cancellations.subList(0, Constants.CANCELLATIONS_PER_STATUS));
+    return PeerStatusCodec.encode(status);
   }
 }
--- a/src/main/java/org/baygw/control/model/Machine.java
+++ b/src/main/java/org/baygw/control/model/Machine.java
@@ -35,21 +35,21 @@
     SICK
   }
 
-  public Machine withCondition(Condition c) {
-    return new Machine(name, type, zone, spot, addr, c, tasks, images, partition);
+  public Machine withCondition(Condition newCondition) {
+    return new Machine(name, type, zone, spot, addr, newCondition, tasks, images, partition);
   }
 
-  public Machine withTasks(Map<TaskId, Integer> next) {
+  public Machine withTasks(Map<TaskId, Integer> newTasks) {
     return new Machine(
-        name, type, zone, spot, addr, condition, new LinkedHashMap<>(next), images, partition);
+        name, type, zone, spot, addr, condition, new LinkedHashMap<>(newTasks), images, partition);
   }
 
   /** Adds an image that the machine fetches; the most recently used images are kept. */
   public Machine withImage(String image) {
-    List<String> next = new ArrayList<>(images);
-    next.remove(image);
-    next.add(image);
-    int from = Math.max(0, next.size() - Constants.IMAGES_PER_MACHINE);
+    List<String> newImages = new ArrayList<>(images);
+    newImages.remove(image);
+    newImages.add(image);
+    int from = Math.max(0, newImages.size() - Constants.IMAGES_PER_MACHINE);
     return new Machine(
         name,
         type,
@@ -58,7 +58,7 @@
         addr,
         condition,
         tasks,
-        List.copyOf(next.subList(from, next.size())),
+        List.copyOf(newImages.subList(from, newImages.size())),
         partition);
   }
 }
--- a/src/main/java/org/baygw/control/model/MachineType.java
+++ b/src/main/java/org/baygw/control/model/MachineType.java
@@ -15,7 +15,7 @@
     double bootS,
     List<String> zones) {
 
-  public boolean fits(JobSpec s) {
-    return s.cpus() <= cpus && s.gpus() <= gpus && s.memoryGb() <= memoryGb;
+  public boolean fits(JobSpec spec) {
+    return spec.cpus() <= cpus && spec.gpus() <= gpus && spec.memoryGb() <= memoryGb;
   }
 }
--- a/src/main/java/org/baygw/control/model/Partition.java
+++ b/src/main/java/org/baygw/control/model/Partition.java
@@ -33,18 +33,18 @@
    * @param perZone the stored number of partitions per zone
    */
   public static Partition of(String machine, String zone, int perZone) {
-    int h = Hashing.murmur3_32_fixed().hashString(machine, StandardCharsets.UTF_8).asInt();
-    return new Partition(zone, Math.floorMod(h, perZone));
+    int hash = Hashing.murmur3_32_fixed().hashString(machine, StandardCharsets.UTF_8).asInt();
+    return new Partition(zone, Math.floorMod(hash, perZone));
   }
 
   public static List<Partition> all(List<String> zones, int perZone) {
-    List<Partition> out = new ArrayList<>();
-    for (String z : zones) {
+    List<Partition> partitions = new ArrayList<>();
+    for (String zone : zones) {
       for (int i = 0; i < perZone; i++) {
-        out.add(new Partition(z, i));
+        partitions.add(new Partition(zone, i));
       }
     }
-    return out;
+    return partitions;
   }
 
   public static Partition parse(String text) {
--- a/src/main/java/org/baygw/control/model/PartitionRecord.java
+++ b/src/main/java/org/baygw/control/model/PartitionRecord.java
@@ -29,12 +29,12 @@
   public static final PartitionRecord EMPTY =
       new PartitionRecord(1, Map.of(), Map.of(), Map.of(), Map.of());
 
-  private static final HashFunction PAGES = Hashing.murmur3_32_fixed(1);
+  private static final HashFunction PAGE_HASH = Hashing.murmur3_32_fixed(1);
 
   /** This page with another number of pages; the maps are shared. */
-  public PartitionRecord withPageCount(int count) {
+  public PartitionRecord withPageCount(int newPageCount) {
     return new PartitionRecord(
-        count, tasksByMachine, conditionsByMachine, completedByJob, requeuedByJob);
+        newPageCount, tasksByMachine, conditionsByMachine, completedByJob, requeuedByJob);
   }
 
   /**
@@ -42,19 +42,19 @@
    * stays on its page or moves to the page that was split off from it. The hash differs from the
    * one that selects the partition; otherwise the machines of a partition would share few pages.
    */
-  public static int pageOf(String machine, int pages) {
-    if (pages == 1) {
+  public static int pageOf(String machine, int pageCount) {
+    if (pageCount == 1) {
       return 0;
     }
-    int hash = PAGES.hashString(machine, StandardCharsets.UTF_8).asInt();
-    int round = Integer.highestOneBit(pages);
+    int hash = PAGE_HASH.hashString(machine, StandardCharsets.UTF_8).asInt();
+    int round = Integer.highestOneBit(pageCount);
     int page = Math.floorMod(hash, 2 * round);
-    return page < pages ? page : Math.floorMod(hash, round);
+    return page < pageCount ? page : Math.floorMod(hash, round);
   }
 
   /** The page that is split next; the page after the last one takes part of its machines. */
-  public static int nextSplit(int pages) {
-    return pages - Integer.highestOneBit(pages);
+  public static int nextSplit(int pageCount) {
+    return pageCount - Integer.highestOneBit(pageCount);
   }
 
   /** A mutable copy. */
@@ -82,83 +82,84 @@
     return size(completedByJob) + size(requeuedByJob);
   }
 
-  private static int size(Map<String, String> m) {
-    int n = 0;
-    for (Map.Entry<String, String> e : m.entrySet()) {
-      n += e.getKey().length() + e.getValue().length() + Constants.RECORD_ENTRY_BYTES;
+  private static int size(Map<String, String> lists) {
+    int bytes = 0;
+    for (Map.Entry<String, String> entry : lists.entrySet()) {
+      bytes += entry.getKey().length() + entry.getValue().length() + Constants.RECORD_ENTRY_BYTES;
     }
-    return n;
+    return bytes;
   }
 
   /** Formats tasks with their attempts: "job:0-3,7*2 job:1", where attempt 1 is omitted. */
   public static String tasks(Map<TaskId, Integer> tasks) {
     Map<String, TreeMap<Integer, Integer>> jobs = new LinkedHashMap<>();
     tasks.forEach(
-        (t, attempt) ->
-            jobs.computeIfAbsent(t.job(), k -> new TreeMap<>()).put(t.index(), attempt));
-    StringBuilder b = new StringBuilder();
+        (task, attempt) ->
+            jobs.computeIfAbsent(task.job(), k -> new TreeMap<>()).put(task.index(), attempt));
+    StringBuilder text = new StringBuilder();
     jobs.forEach(
-        (job, list) -> {
-          if (b.length() > 0) {
-            b.append(' ');
+        (job, attempts) -> {
+          if (text.length() > 0) {
+            text.append(' ');
           }
-          b.append(job).append(':').append(indexes(list));
+          text.append(job).append(':').append(indexes(attempts));
         });
-    return b.toString();
+    return text.toString();
   }
 
   public static Map<TaskId, Integer> tasks(String text) {
-    Map<TaskId, Integer> out = new LinkedHashMap<>();
+    Map<TaskId, Integer> parsed = new LinkedHashMap<>();
     if (text != null && !text.isEmpty()) {
       for (String group : text.split(" ")) {
         int colon = group.indexOf(':');
         String job = group.substring(0, colon);
-        indexes(group.substring(colon + 1)).forEach((i, a) -> out.put(new TaskId(job, i), a));
+        indexes(group.substring(colon + 1))
+            .forEach((index, attempt) -> parsed.put(new TaskId(job, index), attempt));
       }
     }
-    return out;
+    return parsed;
   }
 
   /** Formats task indexes with their attempts: "0-3,7*2"; runs of the same attempt are merged. */
-  public static String indexes(TreeMap<Integer, Integer> list) {
-    StringBuilder b = new StringBuilder();
+  public static String indexes(TreeMap<Integer, Integer> attempts) {
+    StringBuilder text = new StringBuilder();
     int from = -1;
     int to = -1;
     int attempt = 0;
-    for (Map.Entry<Integer, Integer> e : list.entrySet()) {
-      if (from >= 0 && e.getKey() == to + 1 && e.getValue() == attempt) {
+    for (Map.Entry<Integer, Integer> entry : attempts.entrySet()) {
+      if (from >= 0 && entry.getKey() == to + 1 && entry.getValue() == attempt) {
         to++;
         continue;
       }
-      append(b, from, to, attempt);
-      from = e.getKey();
+      append(text, from, to, attempt);
+      from = entry.getKey();
       to = from;
-      attempt = e.getValue();
+      attempt = entry.getValue();
     }
-    append(b, from, to, attempt);
-    return b.toString();
+    append(text, from, to, attempt);
+    return text.toString();
   }
 
-  private static void append(StringBuilder b, int from, int to, int attempt) {
+  private static void append(StringBuilder text, int from, int to, int attempt) {
     if (from < 0) {
       return;
     }
-    if (b.length() > 0) {
-      b.append(',');
+    if (text.length() > 0) {
+      text.append(',');
     }
-    b.append(from);
+    text.append(from);
     if (to > from) {
-      b.append('-').append(to);
+      text.append('-').append(to);
     }
     if (attempt != 1) {
-      b.append('*').append(attempt);
+      text.append('*').append(attempt);
     }
   }
 
   public static TreeMap<Integer, Integer> indexes(String text) {
-    TreeMap<Integer, Integer> out = new TreeMap<>();
+    TreeMap<Integer, Integer> attempts = new TreeMap<>();
     if (text == null || text.isEmpty()) {
-      return out;
+      return attempts;
     }
     for (String item : text.split(",")) {
       int star = item.indexOf('*');
@@ -168,9 +169,9 @@
       int from = Integer.parseInt(dash < 0 ? range : range.substring(0, dash));
       int to = dash < 0 ? from : Integer.parseInt(range.substring(dash + 1));
       for (int i = from; i <= to; i++) {
-        out.put(i, attempt);
+        attempts.put(i, attempt);
       }
     }
-    return out;
+    return attempts;
   }
 }
--- a/src/main/java/org/baygw/control/model/Progress.java
+++ b/src/main/java/org/baygw/control/model/Progress.java
@@ -24,16 +24,16 @@
   public final Map<Integer, Integer> lastAttempts = new TreeMap<>();
 
   public Progress copy() {
-    Progress p = new Progress();
-    p.done.or(done);
-    p.live.putAll(live);
-    p.lastAttempts.putAll(lastAttempts);
-    return p;
+    Progress copy = new Progress();
+    copy.done.or(done);
+    copy.live.putAll(live);
+    copy.lastAttempts.putAll(lastAttempts);
+    return copy;
   }
 
   public boolean isLive(int index, int attempt) {
-    LiveTask l = live.get(index);
-    return l != null && l.attempt() == attempt;
+    LiveTask task = live.get(index);
+    return task != null && task.attempt() == attempt;
   }
 
   /** Grants a task and returns the number of its attempt. */
@@ -46,9 +46,9 @@
 
   /** Returns a task to the queue: it is proved to have ended without completing. */
   public void requeue(int index) {
-    LiveTask l = live.remove(index);
-    if (l != null) {
-      lastAttempts.put(index, l.attempt());
+    LiveTask task = live.remove(index);
+    if (task != null) {
+      lastAttempts.put(index, task.attempt());
     }
   }
 
--- a/src/main/java/org/baygw/control/model/Records.java
+++ b/src/main/java/org/baygw/control/model/Records.java
@@ -16,210 +16,215 @@
  * IllegalArgumentException if a record is malformed.
  */
 public final class Records {
-  public static ObjectNode job(Job j) {
-    JobSpec s = j.spec();
-    ObjectNode n = Json.object();
-    n.put("state", j.state().name()).put("accepted_ms", j.acceptedMs());
-    if (j.state() == Job.State.CANCELLED) {
-      n.put("cancelled_ms", j.cancelledMs());
+  public static ObjectNode job(Job job) {
+    JobSpec spec = job.spec();
+    ObjectNode node = Json.object();
+    node.put("state", job.state().name()).put("accepted_ms", job.acceptedMs());
+    if (job.state() == Job.State.CANCELLED) {
+      node.put("cancelled_ms", job.cancelledMs());
     }
-    ObjectNode o = n.putObject("spec");
-    o.put("class", s.jobClass()).put("team", s.team()).put("service", s.service());
-    o.put("priority", s.priority().name()).put("tasks", s.tasks());
-    o.put("cpus", s.cpus()).put("gpus", s.gpus()).put("memory_gb", s.memoryGb());
-    o.put("image", s.image()).put("image_gb", s.imageGb());
-    if (!s.types().isEmpty()) {
-      ArrayNode t = o.putArray("types");
-      s.types().forEach(t::add);
+    ObjectNode specNode = node.putObject("spec");
+    specNode.put("class", spec.jobClass()).put("team", spec.team()).put("service", spec.service());
+    specNode.put("priority", spec.priority().name()).put("tasks", spec.tasks());
+    specNode.put("cpus", spec.cpus()).put("gpus", spec.gpus()).put("memory_gb", spec.memoryGb());
+    specNode.put("image", spec.image()).put("image_gb", spec.imageGb());
+    if (!spec.types().isEmpty()) {
+      ArrayNode t = specNode.putArray("types");
+      spec.types().forEach(t::add);
     }
-    if (s.zone() != null) {
-      o.put("zone", s.zone());
+    if (spec.zone() != null) {
+      specNode.put("zone", spec.zone());
     }
-    o.put("one_zone", s.oneZone()).put("spread", s.spread()).put("spot", s.spot());
-    o.put("estimate_s", s.estimateS());
-    o.put("checkpoint_s", s.checkpointS()).put("save_s", s.saveS());
-    if (s.deadlineS() != null) {
-      o.put("deadline_s", s.deadlineS());
+    specNode.put("one_zone", spec.oneZone()).put("spread", spec.spread()).put("spot", spec.spot());
+    specNode.put("estimate_s", spec.estimateS());
+    specNode.put("checkpoint_s", spec.checkpointS()).put("save_s", spec.saveS());
+    if (spec.deadlineS() != null) {
+      specNode.put("deadline_s", spec.deadlineS());
     }
-    return n;
+    return node;
   }
 
-  public static Job job(String id, JsonNode n) {
-    JsonNode o = object(n.path("spec"));
+  public static Job job(String id, JsonNode node) {
+    JsonNode specNode = object(node.path("spec"));
     List<String> types = new ArrayList<>();
-    o.path("types").forEach(t -> types.add(t.asText()));
+    specNode.path("types").forEach(t -> types.add(t.asText()));
     JobSpec spec =
         new JobSpec(
             id,
-            o.path("class").asText(),
-            o.path("team").asText(),
-            o.path("service").asBoolean(),
-            JobSpec.Priority.valueOf(o.path("priority").asText()),
-            o.path("tasks").asInt(),
-            o.path("cpus").asDouble(),
-            o.path("gpus").asDouble(),
-            o.path("memory_gb").asDouble(),
-            o.path("image").asText(),
-            o.path("image_gb").asDouble(),
+            specNode.path("class").asText(),
+            specNode.path("team").asText(),
+            specNode.path("service").asBoolean(),
+            JobSpec.Priority.valueOf(specNode.path("priority").asText()),
+            specNode.path("tasks").asInt(),
+            specNode.path("cpus").asDouble(),
+            specNode.path("gpus").asDouble(),
+            specNode.path("memory_gb").asDouble(),
+            specNode.path("image").asText(),
+            specNode.path("image_gb").asDouble(),
             List.copyOf(types),
-            o.path("zone").isTextual() ? o.path("zone").asText() : null,
-            o.path("one_zone").asBoolean(),
-            o.path("spread").asBoolean(),
-            o.path("spot").asBoolean(),
-            o.path("estimate_s").asDouble(),
-            o.path("checkpoint_s").asDouble(),
-            o.path("save_s").asDouble(),
-            o.path("deadline_s").isNumber() ? o.path("deadline_s").asDouble() : null);
+            specNode.path("zone").isTextual() ? specNode.path("zone").asText() : null,
+            specNode.path("one_zone").asBoolean(),
+            specNode.path("spread").asBoolean(),
+            specNode.path("spot").asBoolean(),
+            specNode.path("estimate_s").asDouble(),
+            specNode.path("checkpoint_s").asDouble(),
+            specNode.path("save_s").asDouble(),
+            specNode.path("deadline_s").isNumber() ? specNode.path("deadline_s").asDouble() : null);
     return new Job(
         spec,
-        Job.State.valueOf(n.path("state").asText()),
-        n.path("accepted_ms").asLong(),
-        n.path("cancelled_ms").asLong());
+        Job.State.valueOf(node.path("state").asText()),
+        node.path("accepted_ms").asLong(),
+        node.path("cancelled_ms").asLong());
   }
 
-  public static ObjectNode progress(Progress p) {
-    ObjectNode n = Json.object();
-    n.put("done", Base64.getEncoder().encodeToString(p.done.toByteArray()));
-    ArrayNode live = n.putArray("live");
-    p.live.forEach(
-        (i, l) -> {
-          ArrayNode a = live.addArray().add(i).add(l.attempt()).add(l.partition().toString());
-          if (l.stopRequested()) {
+  public static ObjectNode progress(Progress progress) {
+    ObjectNode node = Json.object();
+    node.put("done", Base64.getEncoder().encodeToString(progress.done.toByteArray()));
+    ArrayNode live = node.putArray("live");
+    progress.live.forEach(
+        (i, task) -> {
+          ArrayNode a = live.addArray().add(i).add(task.attempt()).add(task.partition().toString());
+          if (task.stopRequested()) {
             a.add(true);
           }
         });
-    ArrayNode tried = n.putArray("tried");
-    p.lastAttempts.forEach((i, a) -> tried.addArray().add(i).add(a));
-    return n;
+    ArrayNode tried = node.putArray("tried");
+    progress.lastAttempts.forEach((i, a) -> tried.addArray().add(i).add(a));
+    return node;
   }
 
-  public static Progress progress(JsonNode n) {
-    Progress p = new Progress();
-    p.done.or(BitSet.valueOf(Base64.getDecoder().decode(n.path("done").asText(""))));
-    for (JsonNode l : n.path("live")) {
-      p.live.put(
-          l.path(0).asInt(),
+  public static Progress progress(JsonNode node) {
+    Progress progress = new Progress();
+    progress.done.or(BitSet.valueOf(Base64.getDecoder().decode(node.path("done").asText(""))));
+    for (JsonNode task : node.path("live")) {
+      progress.live.put(
+          task.path(0).asInt(),
           new Progress.LiveTask(
-              l.path(1).asInt(), Partition.parse(l.path(2).asText()), l.path(3).asBoolean()));
+              task.path(1).asInt(),
+              Partition.parse(task.path(2).asText()),
+              task.path(3).asBoolean()));
     }
-    for (JsonNode t : n.path("tried")) {
-      p.lastAttempts.put(t.path(0).asInt(), t.path(1).asInt());
+    for (JsonNode t : node.path("tried")) {
+      progress.lastAttempts.put(t.path(0).asInt(), t.path(1).asInt());
     }
-    return p;
+    return progress;
   }
 
   /** A machine's own record; its tasks and condition are in its partition's record. */
-  public static ObjectNode machine(Machine m) {
+  public static ObjectNode machine(Machine machine) {
     return Json.object()
-        .put("type", m.type())
-        .put("zone", m.zone())
-        .put("spot", m.spot())
-        .put("addr", m.addr());
+        .put("type", machine.type())
+        .put("zone", machine.zone())
+        .put("spot", machine.spot())
+        .put("addr", machine.addr());
   }
 
-  public static Machine machine(String name, JsonNode n, int partitionsPerZone) {
-    String zone = object(n).path("zone").asText();
+  public static Machine machine(String name, JsonNode node, int partitionsPerZone) {
+    String zone = object(node).path("zone").asText();
     return new Machine(
         name,
-        n.path("type").asText(),
+        node.path("type").asText(),
         zone,
-        n.path("spot").asBoolean(),
-        n.path("addr").asText(),
+        node.path("spot").asBoolean(),
+        node.path("addr").asText(),
         Machine.Condition.OK,
         Map.of(),
         List.of(),
         Partition.of(name, zone, partitionsPerZone));
   }
 
-  public static ObjectNode partitionRecord(PartitionRecord r) {
-    ObjectNode n = Json.object();
-    if (r.pageCount() > 1) {
-      n.put("pages", r.pageCount());
+  public static ObjectNode partitionRecord(PartitionRecord record) {
+    ObjectNode node = Json.object();
+    if (record.pageCount() > 1) {
+      node.put("pages", record.pageCount());
     }
-    texts(n.putObject("on"), r.tasksByMachine());
-    texts(n.putObject("conditions"), r.conditionsByMachine());
-    texts(n.putObject("done"), r.completedByJob());
-    texts(n.putObject("back"), r.requeuedByJob());
-    return n;
+    stringMap(node.putObject("on"), record.tasksByMachine());
+    stringMap(node.putObject("conditions"), record.conditionsByMachine());
+    stringMap(node.putObject("done"), record.completedByJob());
+    stringMap(node.putObject("back"), record.requeuedByJob());
+    return node;
   }
 
-  private static void texts(ObjectNode n, Map<String, String> m) {
-    m.forEach(n::put);
+  private static void stringMap(ObjectNode node, Map<String, String> strings) {
+    strings.forEach(node::put);
   }
 
-  public static PartitionRecord partitionRecord(JsonNode n) {
-    object(n);
+  public static PartitionRecord partitionRecord(JsonNode node) {
+    object(node);
     return new PartitionRecord(
-        n.path("pages").asInt(1),
-        texts(n.path("on")),
-        texts(n.path("conditions")),
-        texts(n.path("done")),
-        texts(n.path("back")));
+        node.path("pages").asInt(1),
+        stringMap(node.path("on")),
+        stringMap(node.path("conditions")),
+        stringMap(node.path("done")),
+        stringMap(node.path("back")));
   }
 
-  private static Map<String, String> texts(JsonNode n) {
-    Map<String, String> out = new LinkedHashMap<>();
-    n.fields().forEachRemaining(e -> out.put(e.getKey(), e.getValue().asText()));
-    return out;
+  private static Map<String, String> stringMap(JsonNode node) {
+    Map<String, String> strings = new LinkedHashMap<>();
+    node.fields().forEachRemaining(e -> strings.put(e.getKey(), e.getValue().asText()));
+    return strings;
   }
 
-  public static ObjectNode rental(Rental r) {
+  public static ObjectNode rental(Rental rental) {
     return Json.object()
-        .put("type", r.type())
-        .put("zone", r.zone())
-        .put("spot", r.spot())
-        .put("count", r.count());
+        .put("type", rental.type())
+        .put("zone", rental.zone())
+        .put("spot", rental.spot())
+        .put("count", rental.count());
   }
 
-  public static Rental rental(JsonNode n) {
+  public static Rental rental(JsonNode node) {
     return new Rental(
-        n.path("type").asText(),
-        n.path("zone").asText(),
-        n.path("spot").asBoolean(),
-        n.path("count").asInt());
+        node.path("type").asText(),
+        node.path("zone").asText(),
+        node.path("spot").asBoolean(),
+        node.path("count").asInt());
   }
 
   public static ObjectNode types(List<MachineType> types) {
-    ObjectNode n = Json.object();
-    ArrayNode a = n.putArray("types");
-    for (MachineType t : types) {
-      ObjectNode o = a.addObject();
-      o.put("name", t.name()).put("cpus", t.cpus()).put("gpus", t.gpus());
-      o.put("memory_gb", t.memoryGb()).put("cache_gb", t.cacheGb());
-      o.put("fetch_gb_per_s", t.fetchGbPerS());
-      o.put("price", t.price()).put("spot_price", t.spotPrice()).put("boot_s", t.bootS());
-      ArrayNode z = o.putArray("zones");
-      t.zones().forEach(z::add);
+    ObjectNode node = Json.object();
+    ArrayNode array = node.putArray("types");
+    for (MachineType type : types) {
+      ObjectNode typeNode = array.addObject();
+      typeNode.put("name", type.name()).put("cpus", type.cpus()).put("gpus", type.gpus());
+      typeNode.put("memory_gb", type.memoryGb()).put("cache_gb", type.cacheGb());
+      typeNode.put("fetch_gb_per_s", type.fetchGbPerS());
+      typeNode
+          .put("price", type.price())
+          .put("spot_price", type.spotPrice())
+          .put("boot_s", type.bootS());
+      ArrayNode z = typeNode.putArray("zones");
+      type.zones().forEach(z::add);
     }
-    return n;
+    return node;
   }
 
-  public static List<MachineType> types(JsonNode n) {
-    List<MachineType> out = new ArrayList<>();
-    for (JsonNode o : n.path("types")) {
+  public static List<MachineType> types(JsonNode node) {
+    List<MachineType> types = new ArrayList<>();
+    for (JsonNode typeNode : node.path("types")) {
       List<String> zones = new ArrayList<>();
-      o.path("zones").forEach(z -> zones.add(z.asText()));
-      out.add(
+      typeNode.path("zones").forEach(z -> zones.add(z.asText()));
+      types.add(
           new MachineType(
-              o.path("name").asText(),
-              o.path("cpus").asDouble(),
-              o.path("gpus").asDouble(),
-              o.path("memory_gb").asDouble(),
-              o.path("cache_gb").asDouble(),
-              o.path("fetch_gb_per_s").asDouble(),
-              o.path("price").asDouble(),
-              o.path("spot_price").asDouble(),
-              o.path("boot_s").asDouble(),
+              typeNode.path("name").asText(),
+              typeNode.path("cpus").asDouble(),
+              typeNode.path("gpus").asDouble(),
+              typeNode.path("memory_gb").asDouble(),
+              typeNode.path("cache_gb").asDouble(),
+              typeNode.path("fetch_gb_per_s").asDouble(),
+              typeNode.path("price").asDouble(),
+              typeNode.path("spot_price").asDouble(),
+              typeNode.path("boot_s").asDouble(),
               List.copyOf(zones)));
     }
-    return out;
+    return types;
   }
 
-  private static JsonNode object(JsonNode n) {
-    if (!n.isObject()) {
+  private static JsonNode object(JsonNode node) {
+    if (!node.isObject()) {
       throw new IllegalArgumentException("not a JSON object");
     }
-    return n;
+    return node;
   }
 
   private Records() {}
--- a/src/main/java/org/baygw/control/model/SchedulingParameters.java
+++ b/src/main/java/org/baygw/control/model/SchedulingParameters.java
@@ -36,14 +36,14 @@
    * These parameters with the given fields replaced; throws IllegalArgumentException that names a
    * field that is out of range.
    */
-  public SchedulingParameters withChanges(JsonNode n) {
+  public SchedulingParameters withChanges(JsonNode node) {
     return new SchedulingParameters(
-        number(n, "alpha", alpha, 1e-3, 1e6),
-        number(n, "mu", mu, 1e-3, 1e6),
-        number(n, "move_share", moveShare, 0, 1),
-        number(n, "round_period_s", roundPeriodS, 1, 3600),
-        (int) number(n, "search_nodes", searchNodes, 1, 1_000_000),
-        number(n, "age_limit_s", ageLimitS, 0, 86_400));
+        number(node, "alpha", alpha, 1e-3, 1e6),
+        number(node, "mu", mu, 1e-3, 1e6),
+        number(node, "move_share", moveShare, 0, 1),
+        number(node, "round_period_s", roundPeriodS, 1, 3600),
+        (int) number(node, "search_nodes", searchNodes, 1, 1_000_000),
+        number(node, "age_limit_s", ageLimitS, 0, 86_400));
   }
 
   public ObjectNode toJson() {
@@ -56,14 +56,15 @@
         .put("age_limit_s", ageLimitS);
   }
 
-  private static double number(JsonNode n, String field, double now, double least, double most) {
-    JsonNode v = n.path(field);
-    if (v.isMissingNode()) {
-      return now;
+  private static double number(
+      JsonNode node, String field, double current, double min, double max) {
+    JsonNode value = node.path(field);
+    if (value.isMissingNode()) {
+      return current;
     }
-    if (!v.isNumber() || !(v.asDouble() >= least && v.asDouble() <= most)) {
-      throw new IllegalArgumentException(field + ": must be from " + least + " to " + most);
+    if (!value.isNumber() || !(value.asDouble() >= min && value.asDouble() <= max)) {
+      throw new IllegalArgumentException(field + ": must be from " + min + " to " + max);
     }
-    return v.asDouble();
+    return value.asDouble();
   }
 }
--- a/src/test/java/org/baygw/control/membership/PeerStatusCodecTest.java
+++ b/src/test/java/org/baygw/control/membership/PeerStatusCodecTest.java
@@ -31,7 +31,7 @@
               new PeerStatus.Cancellation("run-\u00e9", 78, 0)));
 
   /** Encodes a status with Avro itself and the schema file. */
-  private static byte[] byAvro(PeerStatus status) throws IOException {
+  private static byte[] encodeWithAvro(PeerStatus status) throws IOException {
     Schema schema;
     try (InputStream in = PeerStatus.class.getResourceAsStream("/avro/PeerStatus.avsc")) {
       schema = new Schema.Parser().parse(in);
@@ -59,23 +59,23 @@
   }
 
   @Test
-  void writesWhatAvroWritesByTheSchema() throws IOException {
-    assertArrayEquals(byAvro(STATUS), PeerStatusCodec.encode(STATUS));
+  void encodesLikeAvro() throws IOException {
+    assertArrayEquals(encodeWithAvro(STATUS), PeerStatusCodec.encode(STATUS));
     PeerStatus empty = new PeerStatus("a", 0, 0, false, List.of());
-    assertArrayEquals(byAvro(empty), PeerStatusCodec.encode(empty));
+    assertArrayEquals(encodeWithAvro(empty), PeerStatusCodec.encode(empty));
   }
 
   @Test
-  void readsWhatAvroWrites() throws IOException {
-    assertEquals(STATUS, PeerStatusCodec.decode(byAvro(STATUS)));
+  void decodesAvroOutput() throws IOException {
+    assertEquals(STATUS, PeerStatusCodec.decode(encodeWithAvro(STATUS)));
   }
 
   @Test
-  void refusesWhatEndsTooSoon() {
-    byte[] whole = PeerStatusCodec.encode(STATUS);
-    for (int length = 0; length < whole.length; length++) {
-      byte[] part = Arrays.copyOf(whole, length);
-      assertThrows(IOException.class, () -> PeerStatusCodec.decode(part));
+  void rejectsTruncatedInput() {
+    byte[] complete = PeerStatusCodec.encode(STATUS);
+    for (int length = 0; length < complete.length; length++) {
+      byte[] truncated = Arrays.copyOf(complete, length);
+      assertThrows(IOException.class, () -> PeerStatusCodec.decode(truncated));
     }
   }
 }
--- a/src/test/java/org/baygw/control/model/PartitionRecordTest.java
+++ b/src/test/java/org/baygw/control/model/PartitionRecordTest.java
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void onePageMoreMovesMachinesOnlyFromThePageThatIsSplit() {
+  void addingAPageMovesMachinesOnlyFromTheSplitPage() {
     for (int pages = 1; pages <= 64; pages++) {
       int moved = 0;
       for (int i = 0; i < 2_000; i++) {
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void twiceThePagesLeaveAMachineOrMoveItToTheNewHalf() {
+  void doublingThePagesKeepsMachinesOrMovesThemToTheNewHalf() {
     for (int pages = 1; pages <= 32; pages *= 2) {
       for (int i = 0; i < 2_000; i++) {
         int before = PartitionRecord.pageOf(machine(i), pages);
@@ -43,29 +43,32 @@
   }
 
   @Test
-  void theMachinesOfOnePartSpreadOverItsPages() {
+  void machinesOfAPartitionSpreadOverItsPages() {
     // With the hash that selects the partition, its machines would share few pages.
-    int[] on = new int[8];
+    int[] machinesByPage = new int[8];
     int all = 0;
     for (int i = 0; i < 8_000; i++) {
       if (Partition.of(machine(i), "a", 8).index() == 3) {
-        on[PartitionRecord.pageOf(machine(i), 8)]++;
+        machinesByPage[PartitionRecord.pageOf(machine(i), 8)]++;
         all++;
       }
     }
-    for (int n : on) {
-      assertTrue(n > all / 16 && n < all / 4, n + " of " + all);
+    for (int count : machinesByPage) {
+      assertTrue(count > all / 16 && count < all / 4, count + " of " + all);
     }
   }
 
   @Test
   void aPageIsReadAsItWasWritten() {
-    PartitionRecord r = PartitionRecord.EMPTY.copy().withPageCount(4);
-    r.tasksByMachine().put("n-000001", PartitionRecord.tasks(Map.of(new TaskId("run-1", 3), 2)));
-    r.conditionsByMachine().put("n-000001", "SILENT");
-    r.completedByJob().put("run-1", "0-2");
-    r.requeuedByJob().put("run-1", "5*2");
-    assertEquals(r, Records.partitionRecord(Json.parse(Json.bytes(Records.partitionRecord(r)))));
+    PartitionRecord record = PartitionRecord.EMPTY.copy().withPageCount(4);
+    record
+        .tasksByMachine()
+        .put("n-000001", PartitionRecord.tasks(Map.of(new TaskId("run-1", 3), 2)));
+    record.conditionsByMachine().put("n-000001", "SILENT");
+    record.completedByJob().put("run-1", "0-2");
+    record.requeuedByJob().put("run-1", "5*2");
+    assertEquals(
+        record, Records.partitionRecord(Json.parse(Json.bytes(Records.partitionRecord(record)))));
     assertEquals(1, Records.partitionRecord(Json.parse("{\"on\":{}}".getBytes())).pageCount());
   }
 }
