--- a/src/main/java/org/baygw/control/core/Outbox.java
+++ b/src/main/java/org/baygw/control/core/Outbox.java
@@ -28,8 +28,8 @@
   /**
    * An HTTP request to another system.
    *
-   * @param orders whether the call carries orders to a worker, which only the active owner of the
-   *     worker's partition may send
+   * @param carriesOrders whether the call carries orders to a worker, which only the active owner
+   *     of the worker's partition may send
    */
   public record Call(
       String addr,
@@ -44,9 +44,9 @@
   /**
    * The answer to an incoming request.
    *
-   * @param request the ID of the request
+   * @param requestId the ID of the request
    * @param retryAfterS seconds of the Retry-After header; 0 for none
-   * @param orders whether the answer carries orders to a worker, as for a call
+   * @param carriesOrders whether the answer carries orders to a worker, as for a call
    */
   public record Answer(
       long requestId, int status, byte[] body, int retryAfterS, boolean carriesOrders)
--- a/src/main/java/org/baygw/control/core/Replication.java
+++ b/src/main/java/org/baygw/control/core/Replication.java
@@ -31,7 +31,7 @@
   /**
    * A machine type for which the cloud has no capacity.
    *
-   * @param forMs time for which it is not requested again
+   * @param remainingMs time for which it is not requested again
    */
   record RefusedCapacity(String type, String zone, boolean spot, long remainingMs) {}
 
@@ -80,7 +80,8 @@
   default void grantsEnded(String job, Collection<Integer> tasks) {}
 
   /**
-   * The cloud has no capacity for a machine type, which is not requested again for {@code forMs}.
+   * The cloud has no capacity for a machine type, which is not requested again for {@code
+   * durationMs}.
    */
   default void capacityRefused(String type, String zone, boolean spot, long durationMs) {}
 
--- a/src/main/java/org/baygw/control/core/TokenBucket.java
+++ b/src/main/java/org/baygw/control/core/TokenBucket.java
@@ -15,8 +15,8 @@
   }
 
   /**
-   * Takes n tokens if they are available. A call that needs more than the whole burst is allowed
-   * when the bucket is full.
+   * Takes {@code count} tokens if they are available. A call that needs more than the whole burst
+   * is allowed when the bucket is full.
    */
   public boolean take(long now, double count) {
     refill(now);
--- a/src/main/java/org/baygw/control/membership/Membership.java
+++ b/src/main/java/org/baygw/control/membership/Membership.java
@@ -55,7 +55,7 @@
   /**
    * Creates the membership of this controller.
    *
-   * @param spreadsLeader whether the leader's successor is preferably chosen from another zone
+   * @param prefersOtherZone whether the leader's successor is preferably chosen from another zone
    */
   public Membership(
       Clock clock, Settings settings, Store store, StateCache view, boolean prefersOtherZone) {
@@ -221,7 +221,7 @@
     return true;
   }
 
-  /** Ends this controller's membership permanently. Call it again until {@link #left()}. */
+  /** Ends this controller's membership permanently. Call it again until {@link #hasLeft()}. */
   public void end() {
     lease.leave();
   }
--- a/src/main/java/org/baygw/control/model/PartitionRecord.java
+++ b/src/main/java/org/baygw/control/model/PartitionRecord.java
@@ -12,12 +12,12 @@
  * A page of a partition's record. Lists of tasks are kept as text, so that a reader parses only the
  * lists that changed.
  *
- * @param pages the number of pages of the record; meaningful on the first page only
- * @param on the tasks that may be on a machine, by machine
- * @param conditions the conditions of machines that accept no new tasks, by machine
- * @param done completed tasks that their job's progress still has as live, by job
- * @param back tasks that ended without completing and that their job's progress still has as live,
- *     by job
+ * @param pageCount the number of pages of the record; meaningful on the first page only
+ * @param tasksByMachine the tasks that may be on each machine
+ * @param conditionsByMachine the conditions of machines that accept no new tasks
+ * @param completedByJob completed tasks that their job's progress still has as live
+ * @param requeuedByJob tasks that ended without completing and that their job's progress still has
+ *     as live
  */
 public record PartitionRecord(
     int pageCount,
--- a/src/main/java/org/baygw/control/model/Progress.java
+++ b/src/main/java/org/baygw/control/model/Progress.java
@@ -13,7 +13,7 @@
   /**
    * A granted task.
    *
-   * @param stop whether the task is to be stopped and returned to the queue
+   * @param stopRequested whether the task is to be stopped and returned to the queue
    */
   public record LiveTask(int attempt, Partition partition, boolean stopRequested) {}
 
