--- a/src/main/java/org/baygw/control/admin/Admin.java
+++ b/src/main/java/org/baygw/control/admin/Admin.java
@@ -130,7 +130,7 @@
         ok -> {
           SchedulingParameters next;
           try {
-            next = view.params.withChanges(n);
+            next = view.params.merge(n);
           } catch (IllegalArgumentException e) {
             error(request, 400, e.getMessage());
             return;
--- a/src/main/java/org/baygw/control/model/SchedulingParameters.java
+++ b/src/main/java/org/baygw/control/model/SchedulingParameters.java
@@ -36,7 +36,7 @@
    * These parameters with the given fields replaced; throws IllegalArgumentException that names a
    * field that is out of range.
    */
-  public SchedulingParameters withChanges(JsonNode node) {
+  public SchedulingParameters merge(JsonNode node) {
     return new SchedulingParameters(
         number(node, "alpha", alpha, 1e-3, 1e6),
         number(node, "mu", mu, 1e-3, 1e6),
--- a/src/main/java/org/baygw/control/store/StateCache.java
+++ b/src/main/java/org/baygw/control/store/StateCache.java
@@ -409,9 +409,7 @@
       case "types" -> types = v == null ? List.of() : Records.types(v);
       case "params" ->
           params =
-              v == null
-                  ? SchedulingParameters.DEFAULTS
-                  : SchedulingParameters.DEFAULTS.withChanges(v);
+              v == null ? SchedulingParameters.DEFAULTS : SchedulingParameters.DEFAULTS.merge(v);
       default -> LOG.debug("unknown key {}", key);
     }
   }
