--- a/src/main/java/org/baygw/control/membership/Membership.java
+++ b/src/main/java/org/baygw/control/membership/Membership.java
@@ -21,9 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which controllers live, who owns which partition, and who leads. A claim's stamp fences every
- * durable change made under it; the membership lease behind it only decides when others may try to
- * take over.
+ * The live controllers, the owner of each partition and the leader. A claim's stamp fences every
+ * durable change made under it; the membership lease behind the claim only decides when other
+ * controllers may try to take over.
  */
 public final class Membership {
   private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
@@ -37,29 +37,29 @@
   private List<Partition> partitions = List.of();
   private final Map<String, Long> firstSeen = new HashMap<>();
 
-  /** Claims that are known to be over though the copy still has them, by their stamps. */
-  private final Map<String, Long> overtaken = new HashMap<>();
+  /** Stamps of claims that are known to have ended although the state cache still has them. */
+  private final Map<String, Long> supersededClaims = new HashMap<>();
 
-  /** Whether the leader's successor is sought in another zone than the leader's. */
-  private final boolean spreadsLeader;
+  /** Whether the leader's successor is preferably chosen from another zone than the leader's. */
+  private final boolean prefersOtherZone;
 
-  /** The zone of the latest leader that this controller has seen; empty before. */
+  /** The zone of the latest leader that this controller has seen; empty before the first one. */
   private String leaderZone = "";
 
-  /** Since when the copy has had no leader; 0 where it has one. */
+  /** Steady time since which the state cache has had no leader; 0 while it has one. */
   private long leaderlessSince;
 
-  private long nextClaim;
-  private boolean claiming;
+  private long nextClaimAt;
+  private boolean claimWriteInFlight;
 
   /**
-   * Makes the membership of this controller.
+   * Creates the membership of this controller.
    *
-   * @param spreadsLeader whether the leader's successor is sought in another zone than the leader's
+   * @param prefersOtherZone whether the leader's successor is preferably chosen from another zone
    */
   public Membership(
-      Clock clock, Settings settings, Store store, StateCache view, boolean spreadsLeader) {
-    this.spreadsLeader = spreadsLeader;
+      Clock clock, Settings settings, Store store, StateCache view, boolean prefersOtherZone) {
+    this.prefersOtherZone = prefersOtherZone;
     this.clock = clock;
     this.settings = settings;
     this.store = store;
@@ -68,7 +68,7 @@
     this.assignment = new PartitionAssignment(settings, view);
   }
 
-  /** All partitions; none until it is durable how many there are. */
+  /** All partitions; empty until the number of partitions per zone has been stored. */
   public List<Partition> partitions() {
     int zones = settings.zones().size();
     if (partitions.size() != view.partitionsPerZone() * zones) {
@@ -78,44 +78,48 @@
   }
 
   /**
-   * The claim's stamp if this process holds it, else 0. A claim counts only once the view has
-   * reached it: before that, the last writes of its former holder could be missing from the view.
+   * The stamp of the role's claim if this process holds it, else 0. A claim counts only once the
+   * state cache has reached its revision: until then the last writes of the former holder may be
+   * missing from the cache.
    */
-  public long owned(String role) {
+  public long heldClaimStamp(String role) {
     StateCache.Entry<StateCache.Claim> claim = view.claims.get(role);
     return claim != null
-            && lease.current() != 0
-            && claim.value().hold() == lease.current()
+            && lease.currentLeaseId() != 0
+            && claim.value().hold() == lease.currentLeaseId()
             && view.revision() >= claim.stamp()
-            && claim.stamp() > overtaken.getOrDefault(role, 0L)
+            && claim.stamp() > supersededClaims.getOrDefault(role, 0L)
         ? claim.stamp()
         : 0;
   }
 
   /**
-   * A worker of the partition has shown a newer claim's token: whatever this controller's copy
-   * says, which the state service may refuse to renew, its own claim is over.
+   * Records that a worker of the partition presented a token of a newer claim. This controller's
+   * own claim has then ended, whatever its state cache says: the cache may be out of date because
+   * the state service refuses this controller.
+   *
+   * @param stamp the stamp of this controller's claim
    */
-  public void overtaken(Partition partition, long stamp) {
-    if (overtaken.merge(partition.toString(), stamp, Math::max) == stamp) {
-      LOG.info("{} has passed to another controller", partition);
+  public void claimSuperseded(Partition partition, long stamp) {
+    if (supersededClaims.merge(partition.toString(), stamp, Math::max) == stamp) {
+      LOG.info("partition {} was taken over by another controller", partition);
     }
   }
 
-  public long owned(Partition partition) {
-    return owned(partition.toString());
+  public long heldClaimStamp(Partition partition) {
+    return heldClaimStamp(partition.toString());
   }
 
-  public long leadership() {
-    return owned(Keys.LEADER);
+  public long leaderClaimStamp() {
+    return heldClaimStamp(Keys.LEADER);
   }
 
-  /** The claim of a role as the copy has it, or null. */
+  /** The claim of a role in the state cache, or null. */
   public StateCache.Entry<StateCache.Claim> claim(String role) {
     return view.claims.get(role);
   }
 
-  /** The names of all roles: the leader's and the partitions'. */
+  /** The names of all roles: the leader and each partition. */
   public List<String> roles() {
     List<String> roles = new ArrayList<>(partitions().size() + 1);
     roles.add(Keys.LEADER);
@@ -124,18 +128,18 @@
   }
 
   /** Whether this controller holds any role. */
-  public boolean ownsAny() {
-    return roles().stream().anyMatch(role -> owned(role) != 0);
+  public boolean holdsAnyRole() {
+    return roles().stream().anyMatch(role -> heldClaimStamp(role) != 0);
   }
 
-  /** The steady time until which this controller's membership lease certainly lives. */
+  /** The steady time until which this controller's membership lease is guaranteed to be valid. */
   public long leaseValidUntil() {
     return lease.validUntil();
   }
 
   /**
-   * The controller that takes the role if its present holder goes, by the same rules by which
-   * claims are taken; null where there is no other.
+   * The controller that would claim the role if its current holder left, by the rules by which
+   * claims are taken; null if there is no other controller.
    */
   public String successor(String role) {
     StateCache.Entry<StateCache.Claim> claim = view.claims.get(role);
@@ -147,34 +151,35 @@
       return null;
     }
     return role.equals(Keys.LEADER)
-        ? leaderAmong(others)
-        : assignment.among(able(others)).get(Partition.parse(role));
+        ? chooseLeader(others)
+        : assignment.ownersAmong(eligible(others)).get(Partition.parse(role));
   }
 
-  private String leaderAmong(Set<String> controllers) {
+  private String chooseLeader(Set<String> controllers) {
     Set<String> staying = staying(controllers);
     Set<String> elsewhere = new HashSet<>(staying);
     elsewhere.removeIf(label -> assignment.zoneOf(label).equals(leaderZone));
-    // Not every controller has seen the former leader, and those that have would wait for one that
-    // has not, which waits for another. So after a moment all choose by what all see.
+    // Controllers that saw the former leader may choose a candidate that did not see it and waits
+    // for a different one. After LEADERLESS_MS all of them therefore ignore the leader's zone.
     boolean mayDisagree =
         leaderlessSince != 0 && clock.now() - leaderlessSince > Constants.LEADERLESS_MS;
-    boolean spread = spreadsLeader && !mayDisagree && !leaderZone.isEmpty() && !elsewhere.isEmpty();
-    return assignment.best(Keys.LEADER, "", spread ? elsewhere : staying);
+    boolean avoidLeaderZone =
+        prefersOtherZone && !mayDisagree && !leaderZone.isEmpty() && !elsewhere.isEmpty();
+    return assignment.best(Keys.LEADER, "", avoidLeaderZone ? elsewhere : staying);
   }
 
-  /** Whether the member key says that this controller is leaving. */
+  /** Whether this controller's member key marks it as leaving. */
   public boolean leaving() {
     StateCache.Entry<StateCache.Member> self = view.members.get(settings.label());
     return self != null && self.value().leaving();
   }
 
-  /** Makes it durable that this controller is leaving, or is not. */
-  public void leave(boolean leaves) {
-    lease.leaving(leaves);
+  /** Stores in this controller's member key whether it is leaving. */
+  public void setLeaving(boolean leaving) {
+    lease.setLeaving(leaving);
   }
 
-  /** Whether another controller lives that stays. */
+  /** Whether another live controller is not leaving. */
   public boolean othersStay() {
     return view.members.entrySet().stream()
         .anyMatch(
@@ -183,58 +188,58 @@
   }
 
   /**
-   * Deletes this controller's claims in one conditional write, as many as it takes; the outcome is
-   * told once it is certain.
+   * Deletes this controller's claims, as many as fit into one conditional write, and reports the
+   * outcome once it is certain.
    *
-   * @return false where another write of claims is under way
+   * @return false if another write of claims is in progress
    */
-  public boolean release(Consumer<Boolean> then) {
-    if (claiming) {
+  public boolean release(Consumer<Boolean> onOutcome) {
+    if (claimWriteInFlight) {
       return false;
     }
-    Txn release = new Txn();
+    Txn txn = new Txn();
     for (String role : roles()) {
-      long stamp = owned(role);
-      if (stamp != 0 && release.writes() < settings.state().txnOps()) {
-        release.when(Keys.claim(role), stamp).delete(Keys.claim(role));
+      long stamp = heldClaimStamp(role);
+      if (stamp != 0 && txn.writes() < settings.state().txnOps()) {
+        txn.when(Keys.claim(role), stamp).delete(Keys.claim(role));
       }
     }
-    if (release.writes() == 0) {
-      then.accept(true);
+    if (txn.writes() == 0) {
+      onOutcome.accept(true);
       return true;
     }
-    claiming = true;
+    claimWriteInFlight = true;
     store.settle(
         Store.Urgency.HOLD,
-        release,
+        txn,
         Constants.STATE_TIMEOUT_MS,
         ok -> {
-          claiming = false;
-          LOG.info("{} {}", ok ? "released" : "could not release", release.then());
-          then.accept(ok);
+          claimWriteInFlight = false;
+          LOG.info("{} {}", ok ? "released" : "could not release", txn.then());
+          onOutcome.accept(ok);
         });
     return true;
   }
 
-  /** Ends this controller's membership for good; to be called again until {@link #left()}. */
+  /** Ends this controller's membership permanently. Call it again until {@link #hasLeft()}. */
   public void end() {
     lease.leave();
   }
 
-  /** Whether this controller's membership is over for good. */
-  public boolean left() {
-    return lease.left();
+  /** Whether this controller's membership has ended permanently. */
+  public boolean hasLeft() {
+    return lease.hasLeft();
   }
 
   /** The label of the controller that owns the partition, or null. */
   public String owner(Partition partition) {
     StateCache.Entry<StateCache.Claim> claim = view.claims.get(partition.toString());
     boolean over =
-        claim == null || claim.stamp() <= overtaken.getOrDefault(partition.toString(), 0L);
+        claim == null || claim.stamp() <= supersededClaims.getOrDefault(partition.toString(), 0L);
     return over ? null : claim.value().owner();
   }
 
-  /** Time has passed, or something has changed. */
+  /** Handles the passing of time and changes of the state cache. */
   public void tick() {
     long now = clock.now();
     if (store.loaded()) {
@@ -244,27 +249,27 @@
     StateCache.Entry<StateCache.Claim> leader = view.claims.get(Keys.LEADER);
     leaderZone = leader == null ? leaderZone : assignment.zoneOf(leader.value().owner());
     leaderlessSince = leader != null ? 0 : leaderlessSince == 0 ? now : leaderlessSince;
-    boolean joined = lease.current() != 0;
+    boolean joined = lease.currentLeaseId() != 0;
     lease.tick();
     if (!store.loaded() || !joined) {
       return;
     }
-    store.share(leadership() != 0);
-    if (!claiming && now >= nextClaim && view.members.containsKey(settings.label())) {
+    store.share(leaderClaimStamp() != 0);
+    if (!claimWriteInFlight && now >= nextClaimAt && view.members.containsKey(settings.label())) {
       if (view.partitionsPerZone() == 0) {
-        layOut();
+        storeLayout();
       } else {
-        claims();
+        updateClaims();
       }
     }
   }
 
   /**
-   * Makes the number of partitions durable, once and for all: two controllers that counted
-   * differently would look for a machine's tasks in different records.
+   * Stores the number of partitions per zone, which never changes afterwards: two controllers with
+   * different numbers would look for a machine's tasks in different records.
    */
-  private void layOut() {
-    claiming = true;
+  private void storeLayout() {
+    claimWriteInFlight = true;
     int perZone = assignment.initialPerZone();
     store.txn(
         Store.Urgency.HOLD,
@@ -273,19 +278,19 @@
             .put(Keys.LAYOUT, Json.object().put("partitions_per_zone", perZone)),
         Constants.STATE_TIMEOUT_MS,
         outcome -> {
-          claiming = false;
-          nextClaim = clock.now() + Constants.CLAIM_LOOK_MS;
+          claimWriteInFlight = false;
+          nextClaimAt = clock.now() + Constants.CLAIM_CHECK_MS;
         });
   }
 
-  /** Whether this controller counts as one that reaches the workers of its zone. */
-  public boolean reaches() {
+  /** Whether this controller is recorded as reaching the workers of its zone. */
+  public boolean workersReachable() {
     StateCache.Entry<StateCache.Member> self = view.members.get(settings.label());
     return self == null || self.value().reaches();
   }
 
-  /** Whether another controller of this zone counts as one that does. */
-  public boolean othersReach() {
+  /** Whether another controller of this zone is recorded as reaching the zone's workers. */
+  public boolean otherControllersReachWorkers() {
     for (Map.Entry<String, StateCache.Entry<StateCache.Member>> entry : view.members.entrySet()) {
       StateCache.Member member = entry.getValue().value();
       if (!entry.getKey().equals(settings.label())
@@ -298,61 +303,62 @@
   }
 
   /**
-   * Makes it known that this controller does not reach its workers, so that others take them, or
-   * does.
+   * Stores in this controller's member key whether it reaches the workers of its zone. If it does
+   * not, others take over its partitions.
    */
-  public void reaches(boolean can) {
-    lease.reaches(can);
+  public void workersReachable(boolean reachable) {
+    lease.setWorkersReachable(reachable);
   }
 
-  /** Takes what this controller is to have and nobody holds, or else hands one partition over. */
-  private void claims() {
-    Txn take = take();
-    Txn next = take.writes() > 0 || leaving() ? take : give();
-    if (next.writes() == 0) {
-      nextClaim = clock.now() + Constants.CLAIM_LOOK_MS;
+  /** Claims free roles that are assigned to this controller, or else hands over one partition. */
+  private void updateClaims() {
+    Txn claimTxn = claimTxn();
+    Txn txn = claimTxn.writes() > 0 || leaving() ? claimTxn : handoverTxn();
+    if (txn.writes() == 0) {
+      nextClaimAt = clock.now() + Constants.CLAIM_CHECK_MS;
       return;
     }
-    claiming = true;
+    claimWriteInFlight = true;
     store.txn(
         Store.Urgency.HOLD,
-        next,
+        txn,
         Constants.STATE_TIMEOUT_MS,
         outcome -> {
-          claiming = false;
-          nextClaim = clock.now() + (outcome == Store.Outcome.OK ? 0 : Constants.CLAIM_RETRY_MS);
+          claimWriteInFlight = false;
+          nextClaimAt = clock.now() + (outcome == Store.Outcome.OK ? 0 : Constants.CLAIM_RETRY_MS);
           if (outcome == Store.Outcome.OK) {
-            LOG.info("{} {}", next == take ? "took" : "handed over", next.then());
+            LOG.info("{} {}", txn == claimTxn ? "took" : "handed over", txn.then());
           }
         });
   }
 
-  private Txn take() {
+  private Txn claimTxn() {
     List<String> wanted = new ArrayList<>();
     if (!view.claims.containsKey(Keys.LEADER)
-        && settings.label().equals(leaderAmong(view.members.keySet()))) {
+        && settings.label().equals(chooseLeader(view.members.keySet()))) {
       wanted.add(Keys.LEADER);
     }
-    Map<Partition, String> owners = assignment.among(expected());
+    Map<Partition, String> owners = assignment.ownersAmong(expectedMembers());
     for (Partition partition : partitions()) {
       if (!view.claims.containsKey(partition.toString())
           && settings.label().equals(owners.get(partition))) {
         wanted.add(partition.toString());
       }
     }
-    Txn take = new Txn();
-    int most = Math.max(1, settings.state().txnOps() / 2);
-    for (String role : wanted.subList(0, Math.min(most, wanted.size()))) {
-      ObjectNode claim = Json.object().put("owner", settings.label()).put("hold", lease.current());
-      take.when(Keys.claim(role), 0).put(Keys.claim(role), claim, lease.current());
+    Txn txn = new Txn();
+    int maxRoles = Math.max(1, settings.state().txnOps() / 2);
+    for (String role : wanted.subList(0, Math.min(maxRoles, wanted.size()))) {
+      ObjectNode claim =
+          Json.object().put("owner", settings.label()).put("hold", lease.currentLeaseId());
+      txn.when(Keys.claim(role), 0).put(Keys.claim(role), claim, lease.currentLeaseId());
     }
-    return take;
+    return txn;
   }
 
-  private Txn give() {
-    Map<Partition, String> owners = assignment.among(settled());
+  private Txn handoverTxn() {
+    Map<Partition, String> owners = assignment.ownersAmong(settledMembers());
     for (Partition partition : partitions()) {
-      long stamp = owned(partition);
+      long stamp = heldClaimStamp(partition);
       if (stamp != 0 && !settings.label().equals(owners.get(partition))) {
         String key = Keys.claim(partition.toString());
         return new Txn().when(key, stamp).delete(key);
@@ -362,69 +368,74 @@
   }
 
   /**
-   * Who counts when partitions are taken. When all controllers come back together the first must
-   * not take everything, only to be overrun by all workers and to hand most of it on: for a moment
-   * those that are still to come count as well.
+   * The controllers among which partitions are divided when they are claimed. For a short time
+   * after joining, controllers that have not joined yet are included. Otherwise, when all
+   * controllers restart together, the first one would claim every partition, be overloaded by all
+   * workers, and hand most partitions over again.
    */
-  private Set<String> expected() {
-    Set<String> out = able(view.members.keySet());
-    if (clock.now() - lease.joinedAt() < Constants.TOGETHER_MS) {
-      settings.peers().forEach(peer -> out.add(peer.label()));
+  private Set<String> expectedMembers() {
+    Set<String> members = eligible(view.members.keySet());
+    if (clock.now() - lease.joinedAt() < Constants.JOIN_GRACE_MS) {
+      settings.peers().forEach(peer -> members.add(peer.label()));
     }
-    return out;
+    return members;
   }
 
-  /** Whether a zone has controllers by the settings and none of them is seen, while others are. */
-  public boolean lost(String zone) {
-    boolean some = false;
+  /** Whether another zone has controllers in the settings, but none of them is a live member. */
+  public boolean lostAllControllers(String zone) {
+    boolean configured = false;
     for (Settings.Peer peer : settings.peers()) {
-      boolean here = peer.zone().equals(zone);
-      if (here && view.members.containsKey(peer.label())) {
+      boolean inZone = peer.zone().equals(zone);
+      if (inZone && view.members.containsKey(peer.label())) {
         return false;
       }
-      some |= here;
+      configured |= inZone;
     }
-    return some && !settings.zone().equals(zone);
+    return configured && !settings.zone().equals(zone);
   }
 
-  /** The controller that is to have a partition which nobody holds at the moment, or null. */
-  public String heir(Partition partition) {
-    return assignment.among(able(view.members.keySet())).get(partition);
+  /** The controller to which a partition without an owner is assigned, or null. */
+  public String assignedOwner(Partition partition) {
+    return assignment.ownersAmong(eligible(view.members.keySet())).get(partition);
   }
 
   /**
-   * Who is likely to have a machine's partition, as far as the settings tell: a hint for workers
-   * that come before this controller has read the keys. Null where that is this controller itself.
+   * The likely owner of a machine's partition according to the settings: a hint for workers that
+   * report before this controller has read the state. Null if it is this controller.
    */
   public String likelyOwner(String machine, String zone) {
     return assignment.likelyOwner(machine, zone);
   }
 
-  private Set<String> settled() {
-    Set<String> out = new HashSet<>();
+  /** Live controllers that have been seen long enough for partitions to be handed to them. */
+  private Set<String> settledMembers() {
+    Set<String> members = new HashSet<>();
     firstSeen.forEach(
         (label, since) -> {
-          if (clock.now() - since >= Constants.SETTLE_MS || label.equals(settings.label())) {
-            out.add(label);
+          if (clock.now() - since >= Constants.MEMBER_STABLE_MS || label.equals(settings.label())) {
+            members.add(label);
           }
         });
-    return able(out);
+    return eligible(members);
   }
 
-  /** Those of them that stay and reach their workers; all that stay if none does. */
-  private Set<String> able(Set<String> among) {
-    Set<String> staying = staying(among);
-    Set<String> out = new HashSet<>(staying);
-    out.removeIf(
+  /**
+   * The given controllers that are not leaving and reach their workers; if none reaches its
+   * workers, all that are not leaving.
+   */
+  private Set<String> eligible(Set<String> controllers) {
+    Set<String> staying = staying(controllers);
+    Set<String> eligible = new HashSet<>(staying);
+    eligible.removeIf(
         label -> view.members.containsKey(label) && !view.members.get(label).value().reaches());
-    return out.isEmpty() ? staying : out;
+    return eligible.isEmpty() ? staying : eligible;
   }
 
-  /** Those of them that are not leaving; all of them if all are. */
-  private Set<String> staying(Set<String> among) {
-    Set<String> out = new HashSet<>(among);
-    out.removeIf(
+  /** The given controllers that are not leaving; all of them if all are leaving. */
+  private Set<String> staying(Set<String> controllers) {
+    Set<String> staying = new HashSet<>(controllers);
+    staying.removeIf(
         label -> view.members.containsKey(label) && view.members.get(label).value().leaving());
-    return out.isEmpty() ? new HashSet<>(among) : out;
+    return staying.isEmpty() ? new HashSet<>(controllers) : staying;
   }
 }
--- a/src/main/java/org/baygw/control/membership/MembershipLease.java
+++ b/src/main/java/org/baygw/control/membership/MembershipLease.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's lease at the state service and the member key attached to it. The lease ends by
- * itself when it is not renewed, and the controller's claims end with it.
+ * This controller's lease at the state service and the member key attached to it. The lease expires
+ * unless it is renewed, and the controller's claims end with it.
  */
 final class MembershipLease {
   private static final Logger LOG = LoggerFactory.getLogger(MembershipLease.class);
@@ -24,30 +24,30 @@
   private final Store store;
   private final StateCache view;
 
-  /** The lease that the member key is attached to; 0 before joining and after it has run out. */
-  private long current;
+  /** The lease that the member key is attached to; 0 before joining and after its expiry. */
+  private long currentLeaseId;
 
-  /** A lease taken but not used yet, and when. */
-  private long prepared;
+  /** A lease that was obtained but is not used yet; 0 if there is none. */
+  private long preparedLeaseId;
 
   private long preparedAt;
   private long joinedAt;
 
-  /** The latest lease of this controller that is known to be over. */
-  private long ended;
+  /** The latest lease of this controller that is known to have ended. */
+  private long endedLeaseId;
 
-  /** The steady time until which the current lease certainly lives. */
+  /** The steady time until which the current lease is guaranteed to be valid. */
   private long validUntil = Long.MIN_VALUE;
 
-  private long preparedUntil;
-  private boolean busy;
-  private boolean updating;
+  private long preparedValidUntil;
+  private boolean requestInFlight;
+  private boolean updateInFlight;
   private boolean leaving;
 
-  /** This controller has ended its lease and takes none any more. */
-  private boolean left;
+  /** Whether this controller has ended its lease and obtains no other. */
+  private boolean hasLeft;
 
-  private long nextTry;
+  private long nextAttemptAt;
 
   MembershipLease(Clock clock, Settings settings, Store store, StateCache view) {
     this.clock = clock;
@@ -56,36 +56,39 @@
     this.view = view;
   }
 
-  /** The lease's number, or 0 where this controller has none. */
-  long current() {
-    return current;
+  /** The ID of the current lease, or 0 if there is none. */
+  long currentLeaseId() {
+    return currentLeaseId;
   }
 
-  /** The steady time until which the lease certainly lives, whatever the state service does. */
+  /**
+   * The steady time until which the lease is guaranteed to be valid, even if the state service does
+   * not answer; {@code Long.MIN_VALUE} if there is no lease.
+   */
   long validUntil() {
-    return current == 0 ? Long.MIN_VALUE : validUntil;
+    return currentLeaseId == 0 ? Long.MIN_VALUE : validUntil;
   }
 
-  /** Whether this controller has ended its membership for good. */
-  boolean left() {
-    return left;
+  /** Whether this controller has ended its membership permanently. */
+  boolean hasLeft() {
+    return hasLeft;
   }
 
   long joinedAt() {
     return joinedAt;
   }
 
-  /** Takes a lease, joins with it and renews it, each when it is due. */
+  /** Obtains a lease, joins with it or renews it, whichever is due. */
   void tick() {
     long now = clock.now();
-    if (busy || left || now < nextTry) {
+    if (requestInFlight || hasLeft || now < nextAttemptAt) {
       return;
     }
     if (!store.loaded()) {
-      if (current == 0 && prepared == 0) {
-        prepare(); // while the keys are being read
+      if (currentLeaseId == 0 && preparedLeaseId == 0) {
+        prepare(); // in parallel with reading the keys
       }
-    } else if (current == 0) {
+    } else if (currentLeaseId == 0) {
       join();
     } else {
       renew();
@@ -93,130 +96,134 @@
   }
 
   private void join() {
-    StateCache.Entry<StateCache.Member> before = view.members.get(settings.label());
-    if (before != null && before.value().hold() != ended) {
-      // Of this controller's former process, which has ended: its claims come free at once.
-      end(before.value().hold());
+    StateCache.Entry<StateCache.Member> previous = view.members.get(settings.label());
+    if (previous != null && previous.value().hold() != endedLeaseId) {
+      // The member key of this controller's former process. Ending its lease frees its claims now.
+      endLease(previous.value().hold());
       return;
     }
-    long taken = prepared;
-    prepared = 0;
-    if (taken != 0 && clock.now() - preparedAt < Constants.HOLD_TOUCH_MS) {
-      enter(taken);
+    long leaseId = preparedLeaseId;
+    preparedLeaseId = 0;
+    if (leaseId != 0 && clock.now() - preparedAt < Constants.MEMBERSHIP_RENEWAL_MS) {
+      register(leaseId);
     } else {
       prepare();
     }
   }
 
-  private void end(long lease) {
+  private void endLease(long leaseId) {
     request(
         "DELETE",
-        "/holds/" + lease,
+        "/holds/" + leaseId,
         null,
         (status, body) -> {
           if (status == 200 || status == 204 || status == 404) {
-            ended = lease;
+            endedLeaseId = leaseId;
           } else {
-            nextTry = clock.now() + Constants.STATE_RETRY_MS;
+            nextAttemptAt = clock.now() + Constants.STATE_RETRY_MS;
           }
         });
   }
 
-  /** Takes a lease that joining will use; by itself it stands for nothing. */
+  /** Obtains a lease for joining. It has no effect until the member key is attached to it. */
   private void prepare() {
-    ObjectNode ask = Json.object().put("ttlMs", Constants.HOLD_TTL_MS);
-    long until = certainlyUntil();
+    ObjectNode leaseRequest = Json.object().put("ttlMs", Constants.MEMBERSHIP_LEASE_MS);
+    long guaranteedUntil = guaranteedUntil();
     request(
         "POST",
         "/holds",
-        Json.bytes(ask),
+        Json.bytes(leaseRequest),
         (status, body) -> {
           boolean ok = status == 200 || status == 201;
-          long taken = ok ? Json.parse(body).path("hold").asLong() : 0;
-          if (taken == 0) {
-            nextTry = clock.now() + Constants.STATE_RETRY_MS;
+          long leaseId = ok ? Json.parse(body).path("hold").asLong() : 0;
+          if (leaseId == 0) {
+            nextAttemptAt = clock.now() + Constants.STATE_RETRY_MS;
           } else {
-            prepared = taken;
-            preparedUntil = until;
+            preparedLeaseId = leaseId;
+            preparedValidUntil = guaranteedUntil;
             preparedAt = clock.now();
           }
         });
   }
 
-  private void enter(long taken) {
-    busy = true;
+  private void register(long leaseId) {
+    requestInFlight = true;
     String key = Keys.member(settings.label());
     store.txn(
         Store.Urgency.HOLD,
-        new Txn().put(key, member(taken, true), taken),
+        new Txn().put(key, memberValue(leaseId, true), leaseId),
         Constants.STATE_TIMEOUT_MS,
         outcome -> {
-          busy = false;
+          requestInFlight = false;
           if (outcome == Store.Outcome.OK) {
-            current = taken;
-            validUntil = preparedUntil;
+            currentLeaseId = leaseId;
+            validUntil = preparedValidUntil;
             joinedAt = clock.now();
-            nextTry = clock.now() + Constants.HOLD_TOUCH_MS;
-            LOG.info("joined with membership lease {}", taken);
+            nextAttemptAt = clock.now() + Constants.MEMBERSHIP_RENEWAL_MS;
+            LOG.info("joined the cluster with membership lease {}", leaseId);
           } else {
-            nextTry = clock.now() + Constants.STATE_RETRY_MS;
+            nextAttemptAt = clock.now() + Constants.STATE_RETRY_MS;
           }
         });
   }
 
   private void renew() {
-    long renewed = current;
-    long until = certainlyUntil();
+    long leaseId = currentLeaseId;
+    long guaranteedUntil = guaranteedUntil();
     request(
         "POST",
-        "/holds/" + renewed + "/touch",
+        "/holds/" + leaseId + "/touch",
         new byte[0],
         (status, body) -> {
           if (status == 404) {
-            LOG.warn("membership lease {} has run out", renewed);
-            current = 0;
-            ended = renewed;
+            LOG.warn("membership lease {} expired", leaseId);
+            currentLeaseId = 0;
+            endedLeaseId = leaseId;
           } else if (status == 200) {
-            validUntil = until;
+            validUntil = guaranteedUntil;
           }
-          nextTry =
-              clock.now() + (status == 200 ? Constants.HOLD_TOUCH_MS : Constants.STATE_RETRY_MS);
+          nextAttemptAt =
+              clock.now()
+                  + (status == 200 ? Constants.MEMBERSHIP_RENEWAL_MS : Constants.STATE_RETRY_MS);
         });
   }
 
-  /** How long a lease that is taken or renewed now lives at least, by this controller's clock. */
-  private long certainlyUntil() {
-    return clock.now() + (long) (Constants.HOLD_TTL_MS * (1 - Constants.DRIFT));
+  /**
+   * The steady time until which a lease requested or renewed now is guaranteed to be valid,
+   * allowing for clock drift.
+   */
+  private long guaranteedUntil() {
+    return clock.now() + (long) (Constants.MEMBERSHIP_LEASE_MS * (1 - Constants.DRIFT));
   }
 
-  /** Ends the lease now, with all claims, and takes no other. */
+  /** Ends the lease and with it all claims, and obtains no other. */
   void leave() {
-    if (busy || left) {
+    if (requestInFlight || hasLeft) {
       return;
     }
-    if (current == 0) {
-      left = true;
+    if (currentLeaseId == 0) {
+      hasLeft = true;
       return;
     }
     request(
         "DELETE",
-        "/holds/" + current,
+        "/holds/" + currentLeaseId,
         null,
         (status, body) -> {
-          left = status == 200 || status == 204 || status == 404;
-          if (left) {
-            LOG.info("left; membership lease {} is over", current);
-            current = 0;
+          hasLeft = status == 200 || status == 204 || status == 404;
+          if (hasLeft) {
+            LOG.info("left the cluster; membership lease {} ended", currentLeaseId);
+            currentLeaseId = 0;
           }
         });
   }
 
-  private interface Answer {
+  private interface ResponseHandler {
     void done(int status, byte[] body);
   }
 
-  private void request(String method, String path, byte[] body, Answer then) {
-    busy = true;
+  private void request(String method, String path, byte[] body, ResponseHandler handler) {
+    requestInFlight = true;
     store.request(
         Store.Urgency.HOLD,
         method,
@@ -226,52 +233,59 @@
         Constants.STATE_TIMEOUT_MS,
         Constants.STATE_TIMEOUT_MS,
         (status, answer) -> {
-          busy = false;
-          then.done(status, answer);
+          requestInFlight = false;
+          handler.done(status, answer);
         });
   }
 
-  private ObjectNode member(long lease, boolean reaches) {
+  private ObjectNode memberValue(long leaseId, boolean reaches) {
     ObjectNode member = Json.object().put("zone", settings.zone());
-    member.put("hold", lease).put("reaches", reaches);
+    member.put("hold", leaseId).put("reaches", reaches);
     return leaving ? member.put("leaving", true) : member;
   }
 
-  /** Makes durable whether this controller reaches the workers of its zone. */
-  void reaches(boolean can) {
+  /** Stores in the member key whether this controller reaches the workers of its zone. */
+  void setWorkersReachable(boolean reachable) {
     StateCache.Entry<StateCache.Member> entry = view.members.get(settings.label());
-    if (entry != null && entry.value().reaches() != can) {
-      update(entry, can, () -> LOG.info("{} its workers", can ? "reaches" : "does not reach"));
+    if (entry != null && entry.value().reaches() != reachable) {
+      updateMember(
+          entry,
+          reachable,
+          () -> LOG.info("{} the workers of its zone", reachable ? "reaches" : "does not reach"));
     }
   }
 
-  /** Makes durable whether this controller is leaving, so that others take its roles. */
-  void leaving(boolean leaves) {
-    leaving = leaves;
+  /** Stores in the member key whether this controller is leaving, so that others take its roles. */
+  void setLeaving(boolean isLeaving) {
+    leaving = isLeaving;
     StateCache.Entry<StateCache.Member> entry = view.members.get(settings.label());
-    if (entry != null && entry.value().leaving() != leaves) {
-      update(
+    if (entry != null && entry.value().leaving() != isLeaving) {
+      updateMember(
           entry,
           entry.value().reaches(),
-          () -> LOG.info(leaves ? "leaves its roles to the others" : "takes roles again"));
+          () ->
+              LOG.info(
+                  isLeaving ? "marked as leaving: others take its roles" : "accepts roles again"));
     }
   }
 
-  private void update(
-      StateCache.Entry<StateCache.Member> entry, boolean reaches, Runnable written) {
-    if (updating || entry.value().hold() != current) {
+  private void updateMember(
+      StateCache.Entry<StateCache.Member> entry, boolean reaches, Runnable onWritten) {
+    if (updateInFlight || entry.value().hold() != currentLeaseId) {
       return;
     }
-    updating = true;
+    updateInFlight = true;
     String key = Keys.member(settings.label());
     store.txn(
         Store.Urgency.HOLD,
-        new Txn().when(key, entry.stamp()).put(key, member(current, reaches), current),
+        new Txn()
+            .when(key, entry.stamp())
+            .put(key, memberValue(currentLeaseId, reaches), currentLeaseId),
         Constants.STATE_TIMEOUT_MS,
         outcome -> {
-          updating = false;
+          updateInFlight = false;
           if (outcome == Store.Outcome.OK) {
-            written.run();
+            onWritten.run();
           }
         });
   }
--- a/src/main/java/org/baygw/control/membership/PartitionAssignment.java
+++ b/src/main/java/org/baygw/control/membership/PartitionAssignment.java
@@ -12,36 +12,36 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * Who is to own which partition among a set of controllers: rendezvous hashing in which a
- * controller of the partition's zone comes first and each takes at most its even share of a zone's
- * partitions. Every controller that sees the same members computes the same assignment.
+ * Assigns partitions to a set of controllers by rendezvous hashing. Controllers of a partition's
+ * zone are preferred, and each gets at most its even share of a zone's partitions. All controllers
+ * that see the same members compute the same assignment.
  */
 final class PartitionAssignment {
   private final Settings settings;
   private final StateCache view;
 
-  /** Assignments by the controllers and zones that they were computed for. */
-  private final Map<Set<String>, Map<Partition, String>> known = new HashMap<>();
+  /** Cached assignments by the controllers and zones that they were computed for. */
+  private final Map<Set<String>, Map<Partition, String>> cache = new HashMap<>();
 
   PartitionAssignment(Settings settings, StateCache view) {
     this.settings = settings;
     this.view = view;
   }
 
-  /** The owner of each partition if just these controllers share them. */
-  Map<Partition, String> among(Set<String> controllers) {
-    if (known.size() > Constants.OWNERS_KEPT) {
-      known.clear();
+  /** The owner of each partition when the partitions are divided among these controllers. */
+  Map<Partition, String> ownersAmong(Set<String> controllers) {
+    if (cache.size() > Constants.CACHED_ASSIGNMENTS) {
+      cache.clear();
     }
     Set<String> key = new HashSet<>();
     controllers.forEach(label -> key.add(label + "|" + zoneOf(label)));
     key.add(String.valueOf(view.partitionsPerZone()));
-    return known.computeIfAbsent(key, k -> assign(controllers, view.partitionsPerZone()));
+    return cache.computeIfAbsent(key, k -> assign(controllers, view.partitionsPerZone()));
   }
 
   /**
-   * Who is likely to own a machine's partition as far as the settings tell, for workers that come
-   * before the keys have been read. Null where that is this controller itself.
+   * The likely owner of a machine's partition according to the settings, for workers that report
+   * before the state has been read. Null if it is this controller.
    */
   String likelyOwner(String machine, String zone) {
     Set<String> all = new HashSet<>();
@@ -52,13 +52,14 @@
     return settings.label().equals(owner) ? null : owner;
   }
 
-  /** How many partitions each zone of a new deployment gets. */
+  /** The number of partitions per zone in a new deployment. */
   int initialPerZone() {
     int controllers = settings.peers().size() + 1;
-    return (int) Math.ceil(controllers * Constants.PARTS_PER_CONTROLLER / settings.zones().size());
+    return (int)
+        Math.ceil(controllers * Constants.PARTITIONS_PER_CONTROLLER / settings.zones().size());
   }
 
-  /** The zone of a controller, by its member key or else by the settings; empty if unknown. */
+  /** The zone of a controller from its member key, or else the settings; empty if unknown. */
   String zoneOf(String label) {
     StateCache.Entry<StateCache.Member> member = view.members.get(label);
     if (member != null) {
@@ -85,24 +86,27 @@
 
   private void assignZone(
       String zone, Set<String> controllers, int perZone, Map<Partition, String> owners) {
-    Set<String> near = new HashSet<>(controllers);
-    near.removeIf(label -> !zoneOf(label).equals(zone));
-    Set<String> eligible = near.isEmpty() ? controllers : near;
-    int most = (perZone + eligible.size() - 1) / Math.max(1, eligible.size());
-    Map<String, Integer> owned = new HashMap<>();
-    for (int i = 0; i < perZone; i++) {
-      Partition partition = new Partition(zone, i);
-      Set<String> free = new HashSet<>(eligible);
-      free.removeIf(label -> owned.getOrDefault(label, 0) >= most);
-      String best = best(partition.toString(), zone, free);
+    Set<String> local = new HashSet<>(controllers);
+    local.removeIf(label -> !zoneOf(label).equals(zone));
+    Set<String> eligible = local.isEmpty() ? controllers : local;
+    int maxPerController = (perZone + eligible.size() - 1) / Math.max(1, eligible.size());
+    Map<String, Integer> counts = new HashMap<>();
+    for (int index = 0; index < perZone; index++) {
+      Partition partition = new Partition(zone, index);
+      Set<String> available = new HashSet<>(eligible);
+      available.removeIf(label -> counts.getOrDefault(label, 0) >= maxPerController);
+      String best = best(partition.toString(), zone, available);
       if (best != null) {
         owners.put(partition, best);
-        owned.merge(best, 1, Integer::sum);
+        counts.merge(best, 1, Integer::sum);
       }
     }
   }
 
-  /** The controller with the highest score for a role; those of the zone come before others. */
+  /**
+   * The controller with the highest score for a role, preferring those of the zone; null if there
+   * are none.
+   */
   String best(String role, String zone, Set<String> controllers) {
     String best = null;
     for (String label : controllers) {
@@ -114,9 +118,9 @@
   }
 
   private boolean precedes(String label, String other, String role, String zone) {
-    boolean near = zoneOf(label).equals(zone);
-    if (near != zoneOf(other).equals(zone)) {
-      return near;
+    boolean local = zoneOf(label).equals(zone);
+    if (local != zoneOf(other).equals(zone)) {
+      return local;
     }
     int score = score(role, label);
     int otherScore = score(role, other);
--- a/src/main/java/org/baygw/control/membership/Peers.java
+++ b/src/main/java/org/baygw/control/membership/Peers.java
@@ -14,139 +14,152 @@
 import org.baygw.control.store.Store;
 
 /**
- * What controllers tell each other, in Avro. Hints only for whatever is durable: they say when to
- * look at the state service again, and whether it is only this controller that it refuses.
- * Cancellations go with them, since a durable one is final and may be acted on at once; and an
- * answer acknowledges that the sibling knew of no other at the time at which it was asked.
+ * Exchanges statuses with the other controllers, encoded in Avro. For durable state they are hints
+ * only: they tell when to read from the state service again, and whether the service refuses only
+ * this controller. They also carry cancellations, since a durable cancellation is final and may be
+ * acted on at once. An answer acknowledges that the peer had confirmed no other cancellation to a
+ * user when the request was sent.
  */
 public final class Peers {
   public static final String PATH = "/peer/status";
 
-  /** A sibling's latest status. */
-  private record Seen(long at, long stateAgeMs, long revision) {}
+  /** The latest status of a peer and the steady time of its receipt. */
+  private record ReceivedStatus(long receivedAtMs, long stateAgeMs, long revision) {}
 
   private final Clock clock;
-  private final Outbox out;
+  private final Outbox outbox;
   private final Settings settings;
   private final Store store;
   private final StateCache view;
-  private final Map<String, Seen> seen = new HashMap<>();
+  private final Map<String, ReceivedStatus> latestStatus = new HashMap<>();
 
-  /**
-   * For each sibling, the sending time of the latest request that it answered with a
-   * acknowledgement.
-   */
-  private final Map<String, Long> acknowledged = new HashMap<>();
+  /** For each peer, the sending time of the latest request that it acknowledged. */
+  private final Map<String, Long> acknowledgedAt = new HashMap<>();
 
   private final long periodMs;
   private long nextSend;
   private long lastSend = Long.MIN_VALUE / 2;
   private boolean urgent;
 
-  public Peers(Clock clock, Outbox out, Settings settings, Store store, StateCache view) {
+  public Peers(Clock clock, Outbox outbox, Settings settings, Store store, StateCache view) {
     this.clock = clock;
-    this.out = out;
+    this.outbox = outbox;
     this.settings = settings;
     this.store = store;
     this.view = view;
-    // Where a lease leaves little time, the watermark of cancellations must be drawn more often.
-    this.periodMs = settings.workers().watermarkPeriodMs(Constants.PEER_MS);
+    // A lease that leaves little time for cancellations requires more frequent acknowledgements.
+    this.periodMs = settings.workers().watermarkPeriodMs(Constants.PEER_STATUS_MS);
   }
 
   public void tick() {
     long now = clock.now();
-    boolean due = now >= nextSend || urgent && now >= lastSend + Constants.PEER_URGENT_MS;
+    boolean due = now >= nextSend || urgent && now >= lastSend + Constants.PEER_STATUS_MIN_GAP_MS;
     if (!store.loaded() || !due) {
       return;
     }
     urgent = false;
     lastSend = now;
     nextSend = now + periodMs;
-    for (Settings.Peer p : settings.peers()) {
-      Seen last = seen.get(p.label());
-      out.call(
-          p.addr(),
+    for (Settings.Peer peer : settings.peers()) {
+      ReceivedStatus last = latestStatus.get(peer.label());
+      outbox.call(
+          peer.addr(),
           "POST",
           PATH,
           encode(last == null ? view.revision() : last.revision()),
           periodMs,
           (status, body) -> {
-            PeerStatus s = status == 200 ? learn(body) : null;
-            if (s != null && s.cancellationsComplete() && s.label().equals(p.label())) {
-              // What it had told users of when it answered, it lists; so it holds for the sending
-              // time.
-              acknowledged.merge(p.label(), now, Math::max);
+            PeerStatus peerStatus = status == 200 ? apply(body) : null;
+            if (peerStatus != null
+                && peerStatus.cancellationsComplete()
+                && peerStatus.label().equals(peer.label())) {
+              // The peer answered after the request was sent and listed every cancellation that it
+              // had confirmed by then, so the acknowledgement covers the sending time.
+              acknowledgedAt.merge(peer.label(), now, Math::max);
             }
           });
     }
   }
 
-  /** A cancellation has become durable here: the siblings hear of it with the next clock step. */
-  public void cancelled() {
+  /** Makes the next tick send a status early, because a cancellation has become durable here. */
+  public void announceCancellation() {
     urgent = true;
   }
 
   /**
-   * Every cancellation that a sibling may have told a user of before this time is known here: each
-   * of them has acknowledged for it. A sibling that is gone, or has not read all keys since it
-   * started, acknowledges for nothing.
+   * The time up to which every cancellation that a peer may have confirmed to a user is known here,
+   * by the acknowledgements of all peers. A peer that is down, or has not read all keys since it
+   * started, does not acknowledge.
    */
   long acknowledgedUntil() {
     long until = clock.now();
-    for (Settings.Peer p : settings.peers()) {
-      until = Math.min(until, acknowledgedUntil(p.label()));
+    for (Settings.Peer peer : settings.peers()) {
+      until = Math.min(until, acknowledgedUntil(peer.label()));
     }
     return until;
   }
 
-  /** The same for one sibling. */
-  long acknowledgedUntil(String sibling) {
-    return acknowledged.getOrDefault(sibling, Long.MIN_VALUE / 2);
+  /** The time up to which every cancellation that this peer may have confirmed is known here. */
+  long acknowledgedUntil(String peer) {
+    return acknowledgedAt.getOrDefault(peer, Long.MIN_VALUE / 2);
   }
 
-  /** Another controller's message; answered with our own. */
-  public void receive(long request, byte[] body) {
-    PeerStatus s = learn(body);
-    if (s != null) {
-      out.answer(request, 200, encode(s.revision()));
+  /** Handles a peer's status and answers with this controller's own. */
+  public void receive(long requestId, byte[] body) {
+    PeerStatus status = apply(body);
+    if (status != null) {
+      outbox.answer(requestId, 200, encode(status.revision()));
     } else {
-      out.answer(request, 400, Json.bytes(Json.object().put("error", "no status")));
+      outbox.answer(
+          requestId,
+          400,
+          Json.bytes(Json.object().put("error", "not a valid status of a known controller")));
     }
   }
 
-  /** True if another controller reaches the state service while this one does not. */
-  public boolean refusedAlone() {
-    // Compared as times, not ages: in an outage all were answered last at about the same moment,
-    // and
-    // an old status from just before it must not make that look like a refusal of this one.
-    for (Seen s : seen.values()) {
-      if (s.at() - s.stateAgeMs() - store.lastContact() > Constants.ALONE_MS) {
+  /**
+   * Whether the state service seems to refuse only this controller: it answered another one
+   * noticeably later.
+   */
+  public boolean isolatedFromStateService() {
+    // Compares times of the last answers, not ages: in an outage all controllers were last answered
+    // at about the same time, and an old status from just before the outage must not look as if the
+    // service refused only this controller.
+    for (ReceivedStatus status : latestStatus.values()) {
+      if (status.receivedAtMs() - status.stateAgeMs() - store.lastContact()
+          > Constants.STATE_ISOLATION_MS) {
         return true;
       }
     }
     return false;
   }
 
-  /** True if the state service answered this controller so much later than that sibling. */
-  boolean behind(String sibling) {
-    Seen s = seen.get(sibling);
-    return s != null && store.lastContact() - s.at() + s.stateAgeMs() > Constants.ALONE_MS;
+  /**
+   * Whether the state service seems to refuse only the peer: it answered this controller noticeably
+   * later.
+   */
+  boolean peerIsolated(String peer) {
+    ReceivedStatus status = latestStatus.get(peer);
+    return status != null
+        && store.lastContact() - status.receivedAtMs() + status.stateAgeMs()
+            > Constants.STATE_ISOLATION_MS;
   }
 
-  /** Takes a sibling's status in; null where it is none. */
-  private PeerStatus learn(byte[] body) {
+  /** Decodes a peer's status and applies it; null if the body is not a peer's status. */
+  private PeerStatus apply(byte[] body) {
     PeerStatus status;
     try {
       status = PeerStatusCodec.decode(body);
     } catch (IOException | RuntimeException e) {
-      return null; // whatever was sent, it is no status
+      return null; // not a status
     }
-    if (settings.peers().stream().noneMatch(p -> p.label().equals(status.label()))) {
+    if (settings.peers().stream().noneMatch(peer -> peer.label().equals(status.label()))) {
       return null;
     }
-    seen.put(status.label(), new Seen(clock.now(), status.stateAgeMs(), status.revision()));
-    for (PeerStatus.Cancellation c : status.cancellations()) {
-      view.toldCancelled(c.job(), c.stamp(), c.cancelledMs());
+    latestStatus.put(
+        status.label(), new ReceivedStatus(clock.now(), status.stateAgeMs(), status.revision()));
+    for (PeerStatus.Cancellation cancellation : status.cancellations()) {
+      view.toldCancelled(cancellation.job(), cancellation.stamp(), cancellation.cancelledMs());
     }
     if (status.revision() > view.revision()) {
       store.refresh();
@@ -154,24 +167,26 @@
     return status;
   }
 
-  /** This controller's status for a sibling whose copy has reached the revision. */
-  private byte[] encode(long revision) {
+  /** Encodes this controller's status for a peer whose state cache has reached the revision. */
+  private byte[] encode(long peerRevision) {
     List<PeerStatus.Cancellation> cancellations = new ArrayList<>();
-    view.cancelledAfter(revision)
+    view.cancelledAfter(peerRevision)
         .forEach(
             (stamp, jobs) ->
                 jobs.forEach(
-                    j ->
+                    job ->
                         cancellations.add(
-                            new PeerStatus.Cancellation(j, stamp, view.cancelledMs(j)))));
-    boolean all = cancellations.size() <= Constants.CANCELLATIONS_TOLD;
-    PeerStatus s =
+                            new PeerStatus.Cancellation(job, stamp, view.cancelledMs(job)))));
+    boolean complete = cancellations.size() <= Constants.CANCELLATIONS_PER_STATUS;
+    PeerStatus status =
         new PeerStatus(
             settings.label(),
             view.revision(),
             Math.max(0, Math.min(clock.now() - store.lastContact(), Integer.MAX_VALUE)),
-            store.loaded() && all,
-            all ? cancellations : cancellations.subList(0, Constants.CANCELLATIONS_TOLD));
-    return PeerStatusCodec.encode(s);
+            store.loaded() && complete,
+            complete
+                ? cancellations
+                : cancellations.subList(0, Constants.CANCELLATIONS_PER_STATUS));
+    return PeerStatusCodec.encode(status);
   }
 }
--- a/src/main/java/org/baygw/control/model/MachineType.java
+++ b/src/main/java/org/baygw/control/model/MachineType.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A kind of machine the cloud offers. */
+/** A machine type that the cloud offers. */
 public record MachineType(
     String name,
     double cpus,
@@ -15,7 +15,7 @@
     double bootS,
     List<String> zones) {
 
-  public boolean holds(JobSpec s) {
-    return s.cpus() <= cpus && s.gpus() <= gpus && s.memoryGb() <= memoryGb;
+  public boolean fits(JobSpec spec) {
+    return spec.cpus() <= cpus && spec.gpus() <= gpus && spec.memoryGb() <= memoryGb;
   }
 }
--- a/src/main/java/org/baygw/control/model/Partition.java
+++ b/src/main/java/org/baygw/control/model/Partition.java
@@ -5,12 +5,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A fixed share of a zone's machines. */
+/** A fixed subset of a zone's machines. */
 public final class Partition implements Comparable<Partition> {
   private final String zone;
   private final int index;
 
-  /** Made once: it is the name of the partition's claim, which is looked up at every step. */
+  /** Computed once, because the partition's claim is looked up by this name at every clock step. */
   private final String name;
 
   public Partition(String zone, int index) {
@@ -27,20 +27,24 @@
     return index;
   }
 
-  /** The part of a machine where each zone has so many; that number is durable (see Membership). */
+  /**
+   * The partition of a machine.
+   *
+   * @param perZone the stored number of partitions per zone
+   */
   public static Partition of(String machine, String zone, int perZone) {
-    int h = Hashing.murmur3_32_fixed().hashString(machine, StandardCharsets.UTF_8).asInt();
-    return new Partition(zone, Math.floorMod(h, perZone));
+    int hash = Hashing.murmur3_32_fixed().hashString(machine, StandardCharsets.UTF_8).asInt();
+    return new Partition(zone, Math.floorMod(hash, perZone));
   }
 
   public static List<Partition> all(List<String> zones, int perZone) {
-    List<Partition> out = new ArrayList<>();
-    for (String z : zones) {
+    List<Partition> partitions = new ArrayList<>();
+    for (String zone : zones) {
       for (int i = 0; i < perZone; i++) {
-        out.add(new Partition(z, i));
+        partitions.add(new Partition(zone, i));
       }
     }
-    return out;
+    return partitions;
   }
 
   public static Partition parse(String text) {
--- a/src/main/java/org/baygw/control/model/Progress.java
+++ b/src/main/java/org/baygw/control/model/Progress.java
@@ -5,52 +5,56 @@
 import java.util.TreeMap;
 
 /**
- * How far the tasks of one chunk of a job are. A live task was granted to a partition and counts
- * against its team until it is proved gone. Copied before it is changed: the cached one is what is
- * durable.
+ * The progress of the tasks in one chunk of a job. A live task was granted to a partition and
+ * counts against its team's limit until its termination is proved. The cached instance reflects the
+ * durable state, so it is copied before it is changed.
  */
 public final class Progress {
-  /** A granted task; stop means that it is to be ended and go back to the queue. */
-  public record Live(int attempt, Partition part, boolean stop) {}
+  /**
+   * A granted task.
+   *
+   * @param stopRequested whether the task is to be stopped and returned to the queue
+   */
+  public record LiveTask(int attempt, Partition partition, boolean stopRequested) {}
 
   public final BitSet done = new BitSet();
-  public final Map<Integer, Live> live = new TreeMap<>();
+  public final Map<Integer, LiveTask> live = new TreeMap<>();
 
-  /** Highest attempt used so far of tasks that are not live. */
-  public final Map<Integer, Integer> tried = new TreeMap<>();
+  /** The highest attempt so far of each granted task that is neither live nor done. */
+  public final Map<Integer, Integer> lastAttempts = new TreeMap<>();
 
   public Progress copy() {
-    Progress p = new Progress();
-    p.done.or(done);
-    p.live.putAll(live);
-    p.tried.putAll(tried);
-    return p;
+    Progress copy = new Progress();
+    copy.done.or(done);
+    copy.live.putAll(live);
+    copy.lastAttempts.putAll(lastAttempts);
+    return copy;
   }
 
   public boolean isLive(int index, int attempt) {
-    Live l = live.get(index);
-    return l != null && l.attempt() == attempt;
+    LiveTask task = live.get(index);
+    return task != null && task.attempt() == attempt;
   }
 
-  /** Grants a task and returns its attempt. */
+  /** Grants a task and returns the number of its attempt. */
   public int grant(int index, Partition part) {
-    Integer last = tried.remove(index);
+    Integer last = lastAttempts.remove(index);
     int attempt = last == null ? 1 : last + 1;
-    live.put(index, new Live(attempt, part, false));
+    live.put(index, new LiveTask(attempt, part, false));
     return attempt;
   }
 
-  /** The task is proved gone without having completed. */
-  public void back(int index) {
-    Live l = live.remove(index);
-    if (l != null) {
-      tried.put(index, l.attempt());
+  /** Returns a task to the queue: it is proved to have ended without completing. */
+  public void requeue(int index) {
+    LiveTask task = live.remove(index);
+    if (task != null) {
+      lastAttempts.put(index, task.attempt());
     }
   }
 
   public void complete(int index) {
     live.remove(index);
-    tried.remove(index);
+    lastAttempts.remove(index);
     done.set(index);
   }
 }
--- a/src/main/java/org/baygw/control/model/SchedulingParameters.java
+++ b/src/main/java/org/baygw/control/model/SchedulingParameters.java
@@ -5,7 +5,16 @@
 import org.baygw.control.Constants;
 import org.baygw.control.core.Json;
 
-/** The design's open parameters; operators change them through the administration API. */
+/**
+ * Scheduling parameters that operators change through the administration API.
+ *
+ * @param alpha weight of an active machine in the cost of a placement
+ * @param mu weight of a move in the cost of a placement
+ * @param moveShare limit of moves in one consolidation round, as a share of the machines
+ * @param roundPeriodS time between consolidation rounds
+ * @param searchNodes limit of search nodes in one consolidation round
+ * @param ageLimitS age of a task above which it is not moved
+ */
 public record SchedulingParameters(
     double alpha,
     double mu,
@@ -24,16 +33,17 @@
           Constants.AGE_LIMIT_S);
 
   /**
-   * Reads what is given over these; throws IllegalArgumentException naming a field out of range.
+   * These parameters with the given fields replaced; throws IllegalArgumentException that names a
+   * field that is out of range.
    */
-  public SchedulingParameters with(JsonNode n) {
+  public SchedulingParameters merge(JsonNode node) {
     return new SchedulingParameters(
-        number(n, "alpha", alpha, 1e-3, 1e6),
-        number(n, "mu", mu, 1e-3, 1e6),
-        number(n, "move_share", moveShare, 0, 1),
-        number(n, "round_period_s", roundPeriodS, 1, 3600),
-        (int) number(n, "search_nodes", searchNodes, 1, 1_000_000),
-        number(n, "age_limit_s", ageLimitS, 0, 86_400));
+        number(node, "alpha", alpha, 1e-3, 1e6),
+        number(node, "mu", mu, 1e-3, 1e6),
+        number(node, "move_share", moveShare, 0, 1),
+        number(node, "round_period_s", roundPeriodS, 1, 3600),
+        (int) number(node, "search_nodes", searchNodes, 1, 1_000_000),
+        number(node, "age_limit_s", ageLimitS, 0, 86_400));
   }
 
   public ObjectNode toJson() {
@@ -46,14 +56,15 @@
         .put("age_limit_s", ageLimitS);
   }
 
-  private static double number(JsonNode n, String field, double now, double least, double most) {
-    JsonNode v = n.path(field);
-    if (v.isMissingNode()) {
-      return now;
+  private static double number(
+      JsonNode node, String field, double current, double min, double max) {
+    JsonNode value = node.path(field);
+    if (value.isMissingNode()) {
+      return current;
     }
-    if (!v.isNumber() || !(v.asDouble() >= least && v.asDouble() <= most)) {
-      throw new IllegalArgumentException(field + ": must be from " + least + " to " + most);
+    if (!value.isNumber() || !(value.asDouble() >= min && value.asDouble() <= max)) {
+      throw new IllegalArgumentException(field + ": must be from " + min + " to " + max);
     }
-    return v.asDouble();
+    return value.asDouble();
   }
 }
--- a/src/main/java/org/baygw/control/quota/Preemption.java
+++ b/src/main/java/org/baygw/control/quota/Preemption.java
@@ -346,7 +346,7 @@
       boolean usable =
           machine.condition() == Machine.Condition.OK
               && !view.drains.containsKey(machine.name())
-              && membership.owner(machine.part()) != null;
+              && membership.owner(machine.partition()) != null;
       MachineCapacity capacity = usable ? capacityCache.of(machine) : null;
       if (capacity != null) {
         found.add(capacity);
@@ -363,12 +363,12 @@
     List<Victim> found = new ArrayList<>();
     for (TaskId task : capacity.machine().tasks().keySet()) {
       StateCache.Entry<Job> job = view.jobs.get(task.job());
-      Progress.Live live = view.grant(task);
+      Progress.LiveTask live = view.grant(task);
       if (job == null || live == null) {
         continue;
       }
       JobSpec spec = job.value().spec();
-      if (live.stop() || stopping.contains(task) || !job.value().open()) {
+      if (live.stopRequested() || stopping.contains(task) || !job.value().open()) {
         capacity.release(spec);
       } else if (!writes.hasWriteInFlight(task.job())
           && spec.priority() != JobSpec.Priority.PRODUCTION) {
@@ -390,15 +390,15 @@
   }
 
   private void stop(String job, List<Victim> victims) {
-    Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leadership());
+    Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leaderClaimStamp());
     Map<Integer, Progress> updatedChunks = new LinkedHashMap<>();
     for (Victim victim : victims) {
       int index = victim.task().index();
       int chunk = index / Constants.CHUNK_TASKS;
       if (updatedChunks.containsKey(chunk) || updatedChunks.size() < settings.state().txnOps()) {
         Progress progress = updatedChunks.computeIfAbsent(chunk, c -> view.progress(job, c).copy());
-        Progress.Live live = progress.live.get(index);
-        progress.live.put(index, new Progress.Live(live.attempt(), live.part(), true));
+        Progress.LiveTask live = progress.live.get(index);
+        progress.live.put(index, new Progress.LiveTask(live.attempt(), live.partition(), true));
       }
     }
     updatedChunks.forEach(
--- a/src/main/java/org/baygw/control/quota/Scheduler.java
+++ b/src/main/java/org/baygw/control/quota/Scheduler.java
@@ -106,12 +106,12 @@
   /** Runs a pass if one is due; called as time passes and after each change. */
   public void tick() {
     long now = clock.now();
-    if (!store.loaded() || membership.leadership() == 0) {
+    if (!store.loaded() || membership.leaderClaimStamp() == 0) {
       unmet = List.of();
       return;
     }
-    if (epoch != membership.leadership()) {
-      epoch = membership.leadership();
+    if (epoch != membership.leaderClaimStamp()) {
+      epoch = membership.leaderClaimStamp();
       inheritQueue();
     }
     if (now < nextPass || unmetIsCurrent() && now < nextPass + Constants.SCHEDULER_IDLE_PASS_MS) {
@@ -272,7 +272,7 @@
     private long recordUnmet(QueuedJob job, int count, int[] liveByZone) {
       JobSpec spec = job.spec();
       if (unmetSince.putIfAbsent(job.id(), clock.now()) == null) {
-        replication.waiting(job.id());
+        replication.jobWaiting(job.id());
       }
       long waitedMs = clock.now() - unmetSince.get(job.id());
       if (!spec.spread() && !spec.oneZone()) {
@@ -300,7 +300,7 @@
         String job = it.next();
         if (!waiting.contains(job)) {
           it.remove();
-          replication.served(job);
+          replication.jobServed(job);
         }
       }
     }
@@ -387,7 +387,7 @@
     void write() {
       Txn txn =
           new Txn()
-              .when(Keys.claim(Keys.LEADER), membership.leadership())
+              .when(Keys.claim(Keys.LEADER), membership.leaderClaimStamp())
               .when(Keys.job(job.id()), job.stamp());
       updatedChunks.forEach(
           (chunk, progress) -> {
@@ -395,7 +395,7 @@
             txn.when(key, view.stamp(key)).put(key, Records.progress(progress));
           });
       LOG.debug("granting {} tasks of job {}", grantedCount, job.id());
-      replication.granted(job.id(), grantedIndexes);
+      replication.tasksGranted(job.id(), grantedIndexes);
       writes.grant(job.id(), tasksByPartition, txn);
     }
   }
@@ -440,14 +440,14 @@
         id,
         Store.Urgency.LAUNCH,
         new Txn()
-            .when(Keys.claim(Keys.LEADER), membership.leadership())
+            .when(Keys.claim(Keys.LEADER), membership.leaderClaimStamp())
             .when(Keys.job(id), job.stamp())
-            .put(Keys.job(id), Records.job(job.value().done())));
+            .put(Keys.job(id), Records.job(job.value().completed())));
   }
 
   /** Deletes the progress of an ended job that has no live tasks. */
   private void deleteProgress(String id, TreeMap<Integer, StateCache.Entry<Progress>> chunks) {
-    Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leadership());
+    Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leaderClaimStamp());
     for (Integer chunk : chunks.keySet()) {
       if (txn.writes() < settings.state().txnOps()) {
         String key = Keys.progress(id, chunk);
--- a/src/main/java/org/baygw/control/quota/ZoneRules.java
+++ b/src/main/java/org/baygw/control/quota/ZoneRules.java
@@ -23,8 +23,8 @@
   }
 
   void addLive(Progress progress, int[] liveByZone) {
-    for (Progress.Live live : progress.live.values()) {
-      int zone = indexOf(live.part().zone());
+    for (Progress.LiveTask live : progress.live.values()) {
+      int zone = indexOf(live.partition().zone());
       if (zone >= 0) {
         liveByZone[zone]++;
       }
@@ -48,7 +48,7 @@
 
   /** Whether the job's limit per zone allows another task in the zone; other rules do not count. */
   boolean isBelowZoneLimit(JobSpec spec, int zone, int[] liveByZone) {
-    return !spec.spread() || liveByZone[zone] < spec.zoneCap();
+    return !spec.spread() || liveByZone[zone] < spec.maxTasksPerZone();
   }
 
   /** The zone in which a machine for the task must be, or null for any; counts the task there. */
--- a/src/main/java/org/baygw/control/workers/CancellationDeadline.java
+++ b/src/main/java/org/baygw/control/workers/CancellationDeadline.java
@@ -91,13 +91,13 @@
       return;
     }
     nextCheck = clock.now() + Constants.MACHINE_FULL_CHECK_MS;
-    if (currentSince == 0 || !watermark.copyIsCurrent()) {
+    if (currentSince == 0 || !watermark.cacheIsCurrent()) {
       currentSince = clock.now();
     }
     List<String> due = findDueMachines();
     // If this controller may have been replaced, the new owner may have proved that the tasks ended
     // and placed others on the machine, which must keep running.
-    if (!due.isEmpty() && !returnInProgress && !watermark.mayBeReplaced()) {
+    if (!due.isEmpty() && !returnInProgress && !watermark.mayHaveLostClaims()) {
       returnMachines(due.subList(0, Math.min(due.size(), Constants.MAX_RETURN)));
     }
   }
@@ -108,7 +108,7 @@
    */
   private List<String> findDueMachines() {
     returned.retainAll(view.machines.keySet());
-    boolean outage = watermark.outageForMost();
+    boolean outage = watermark.outageForMajority();
     Set<String> pending = new HashSet<>();
     Set<String> due = new LinkedHashSet<>();
     for (StateCache.Entry<Job> job : view.active.values()) {
@@ -157,7 +157,7 @@
     // else to return the machine. After an outage the owner needs some time to write its proof, or
     // healthy machines would be returned.
     return share > Constants.CANCELLATION_ANY_CONTROLLER_SHARE
-        && watermark.copyIsCurrent()
+        && watermark.cacheIsCurrent()
         && clock.now() - currentSince > proofDelayMs();
   }
 
@@ -199,8 +199,8 @@
 
   /** Whether the machine's partition has no owner that can act; valid during an outage only. */
   private boolean ownerless(Machine machine) {
-    String owner = membership.owner(machine.part());
-    return owner == null || !watermark.acts(owner);
+    String owner = membership.owner(machine.partition());
+    return owner == null || !watermark.canRelyOnClaims(owner);
   }
 
   private void returnMachines(List<String> machines) {
--- a/src/main/java/org/baygw/control/workers/ConsolidationRound.java
+++ b/src/main/java/org/baygw/control/workers/ConsolidationRound.java
@@ -179,7 +179,7 @@
             for (int target = 0; target < allowed.length; target++) {
               var machine = capacities.get(target).machine();
               allowed[target] =
-                  machine.part().equals(partition)
+                  machine.partition().equals(partition)
                       && MachineCapacity.allowed(
                           spec, machine.type(), machine.zone(), machine.spot());
             }
--- a/src/main/java/org/baygw/control/workers/EndedTasks.java
+++ b/src/main/java/org/baygw/control/workers/EndedTasks.java
@@ -25,13 +25,13 @@
    */
   static void removeRecorded(PartitionRecord page, StateCache view) {
     removeMatching(
-        page.done(),
+        page.completedByJob(),
         (job, index, attempt) -> {
           Progress progress = view.written(job, index / Constants.CHUNK_TASKS);
           return progress == null || progress.done.get(index);
         });
     removeMatching(
-        page.back(),
+        page.requeuedByJob(),
         (job, index, attempt) -> {
           Progress progress = view.written(job, index / Constants.CHUNK_TASKS);
           return progress == null || !progress.isLive(index, attempt);
--- a/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
+++ b/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
@@ -103,12 +103,12 @@
     String jobWithoutCapacity = null;
     for (TaskId task : tasks) {
       StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
-      Progress.Live grant = view.grant(task);
+      Progress.LiveTask grant = view.grant(task);
       if (excluded.contains(task) || grant == null) {
         continue;
       }
       long since = unplacedSince.computeIfAbsent(task, k -> now);
-      boolean revoked = !view.runs(task.job()) || grant.stop();
+      boolean revoked = !view.runs(task.job()) || grant.stopRequested();
       JobSpec spec = revoked ? null : jobEntry.value().spec();
       MachineCapacity capacity = null;
       boolean sameMachine = false;
@@ -148,8 +148,8 @@
   }
 
   private boolean isUnplaced(TaskId task) {
-    Progress.Live grant = view.grant(task);
-    return grant != null && view.unplaced(grant.part()).contains(task);
+    Progress.LiveTask grant = view.grant(task);
+    return grant != null && view.unplaced(grant.partition()).contains(task);
   }
 
   private JobSpec.Priority priority(TaskId task) {
--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -162,7 +162,7 @@
 
     /** Sets the number of pages of the record, which is stored on the first page. */
     void setPages(int count) {
-      copies.put(0, editable(0).withPages(count));
+      copies.put(0, editable(0).withPageCount(count));
     }
 
     @Override
@@ -202,20 +202,22 @@
           (machine, tasks) -> {
             PartitionRecord record = editable(pageOf(machine));
             if (tasks.isEmpty()) {
-              record.on().remove(machine);
+              record.tasksByMachine().remove(machine);
             } else {
-              record.on().put(machine, PartitionRecord.tasks(tasks));
+              record.tasksByMachine().put(machine, PartitionRecord.tasks(tasks));
             }
           });
       doneTasks.forEach(
-          (page, m) -> m.forEach((job, l) -> EndedTasks.add(editable(page).done(), job, l)));
+          (page, m) ->
+              m.forEach((job, l) -> EndedTasks.add(editable(page).completedByJob(), job, l)));
       returnedTasks.forEach(
-          (page, m) -> m.forEach((job, l) -> EndedTasks.add(editable(page).back(), job, l)));
+          (page, m) ->
+              m.forEach((job, l) -> EndedTasks.add(editable(page).requeuedByJob(), job, l)));
       // The first page holds the number of pages, which determines the page of each machine.
       txn.when(Keys.record(partition, 0), view.stamp(Keys.record(partition, 0)));
       for (int page : changedPages) {
         String key = Keys.record(partition, page);
-        txn.when(key, view.stamp(key)).put(key, Records.record(editable(page)));
+        txn.when(key, view.stamp(key)).put(key, Records.partitionRecord(editable(page)));
       }
       return txn;
     }
@@ -400,8 +402,8 @@
 
   /** Moves the machines that belong on a new page to it, given the new number of pages. */
   private static void moveMachines(PartitionRecord from, PartitionRecord to, int page, int pages) {
-    moveMachines(from.on(), to.on(), page, pages);
-    moveMachines(from.conditions(), to.conditions(), page, pages);
+    moveMachines(from.tasksByMachine(), to.tasksByMachine(), page, pages);
+    moveMachines(from.conditionsByMachine(), to.conditionsByMachine(), page, pages);
   }
 
   private static void moveMachines(
@@ -456,7 +458,7 @@
         }
       }
     }
-    Map<String, String> conditions = draft.editable(draft.pageOf(name)).conditions();
+    Map<String, String> conditions = draft.editable(draft.pageOf(name)).conditionsByMachine();
     if (!Objects.equals(condition, conditions.get(name))) {
       draft.markChanged(draft.pageOf(name));
       if (condition == null) {
@@ -479,11 +481,11 @@
     if (entry == null
         || draft.moveTarget != null
         || !view.runs(task.job())
-        || view.grant(task).stop()) {
+        || view.grant(task).stopRequested()) {
       return false;
     }
     Machine targetMachine = entry.value();
-    PartitionWriter targetWriter = context.writer(targetMachine.part());
+    PartitionWriter targetWriter = context.writer(targetMachine.partition());
     WorkerSession targetWorker = targetWriter == null ? null : targetWriter.context.session(name);
     if (targetWorker == null
         || targetWriter != this && targetWriter.writing
@@ -501,30 +503,32 @@
     int chunk = task.index() / Constants.CHUNK_TASKS;
     String progressKey = Keys.progress(task.job(), chunk);
     Progress progress = view.progress(task.job(), chunk).copy();
-    progress.back(task.index());
-    int attempt = progress.grant(task.index(), targetMachine.part());
+    progress.requeue(task.index());
+    int attempt = progress.grant(task.index(), targetMachine.partition());
     draft
         .txn
         .when(progressKey, view.stamp(progressKey))
         .put(progressKey, Records.progress(progress))
-        .when(Keys.drain(targetMachine.part()), view.stamp(Keys.drain(targetMachine.part())))
+        .when(
+            Keys.drain(targetMachine.partition()),
+            view.stamp(Keys.drain(targetMachine.partition())))
         .when(Keys.job(task.job()), jobEntry.stamp());
     if (targetWriter == this) {
       draft.editableTasks(name).put(task, attempt);
     } else {
-      int page = PartitionRecord.pageOf(name, view.pages().count(targetMachine.part()));
-      String firstPageKey = Keys.record(targetMachine.part(), 0);
-      String pageKey = Keys.record(targetMachine.part(), page);
-      PartitionRecord targetPage = view.pages().get(targetMachine.part(), page).copy();
+      int page = PartitionRecord.pageOf(name, view.pages().count(targetMachine.partition()));
+      String firstPageKey = Keys.record(targetMachine.partition(), 0);
+      String pageKey = Keys.record(targetMachine.partition(), page);
+      PartitionRecord targetPage = view.pages().get(targetMachine.partition(), page).copy();
       Map<TaskId, Integer> tasksOnTarget = new LinkedHashMap<>(view.on(name));
       tasksOnTarget.put(task, attempt);
-      targetPage.on().put(name, PartitionRecord.tasks(tasksOnTarget));
+      targetPage.tasksByMachine().put(name, PartitionRecord.tasks(tasksOnTarget));
       draft
           .txn
           .when(firstPageKey, view.stamp(firstPageKey))
           .when(pageKey, view.stamp(pageKey))
-          .when(Keys.claim(targetMachine.part().toString()), targetWriter.claim)
-          .put(pageKey, Records.record(targetPage));
+          .when(Keys.claim(targetMachine.partition().toString()), targetWriter.claim)
+          .put(pageKey, Records.partitionRecord(targetPage));
       draft.moveTarget = targetWriter;
       targetWriter.writing = true;
       targetWriter.tasksInWrite.add(task);
@@ -547,7 +551,7 @@
           || view.done(job) + ended.get(job) < jobEntry.value().spec().tasks()) {
         continue;
       }
-      int writes = 1 + jobEntry.value().chunks();
+      int writes = 1 + jobEntry.value().progressChunks();
       if (draft.writes() + writes > settings.state().txnOps()) {
         continue; // the leader marks the job as done
       }
@@ -561,13 +565,13 @@
       draft
           .txn
           .when(Keys.job(job), jobEntry.stamp())
-          .put(Keys.job(job), Records.job(jobEntry.value().done()));
-      for (int chunk = 0; chunk < jobEntry.value().chunks(); chunk++) {
+          .put(Keys.job(job), Records.job(jobEntry.value().completed()));
+      for (int chunk = 0; chunk < jobEntry.value().progressChunks(); chunk++) {
         draft.txn.delete(Keys.progress(job, chunk));
       }
       draft.doneTasks.values().forEach(m -> m.remove(job));
-      draft.changedPages.forEach(page -> draft.editable(page).done().remove(job));
-      draft.changedPages.forEach(page -> draft.editable(page).back().remove(job));
+      draft.changedPages.forEach(page -> draft.editable(page).completedByJob().remove(job));
+      draft.changedPages.forEach(page -> draft.editable(page).requeuedByJob().remove(job));
     }
   }
 
--- a/src/main/java/org/baygw/control/workers/TerminationEvidence.java
+++ b/src/main/java/org/baygw/control/workers/TerminationEvidence.java
@@ -101,10 +101,10 @@
     if (!view.runs(task.job())) {
       return false;
     }
-    Progress.Live grant = view.grant(task);
+    Progress.LiveTask grant = view.grant(task);
     return grant != null
         && grant.attempt() == attempt
-        && !grant.stop()
-        && grant.part().equals(machine.part());
+        && !grant.stopRequested()
+        && grant.partition().equals(machine.partition());
   }
 }
--- a/src/main/java/org/baygw/control/workers/WorkerCommands.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCommands.java
@@ -308,7 +308,7 @@
       }
     }
     worker.directCallInProgress = true;
-    out.orders(
+    out.sendOrders(
         worker.addr,
         "/orders",
         Json.bytes(WorkerCodec.directOrders(token, session, orders)),
@@ -355,7 +355,7 @@
     boolean firstLaunch = worker.launchedAt.put(task, clock.now()) == null;
     StateCache.Entry<Machine> machine = view.machines.get(worker.name);
     if (firstLaunch && machine != null) {
-      replication.launched(machine.value().part(), worker.name, task);
+      replication.taskLaunched(machine.value().partition(), worker.name, task);
     }
     if (firstLaunch && jobEntry != null) {
       long waited = Math.max(0, clock.wall() - jobEntry.value().acceptedMs());
--- a/src/main/java/org/baygw/control/workers/WorkerReachability.java
+++ b/src/main/java/org/baygw/control/workers/WorkerReachability.java
@@ -56,20 +56,21 @@
   }
 
   void tick() {
-    if (!membership.reaches()) {
+    if (!membership.workersReachable()) {
       probeNext();
       return;
     }
     int ownMachines = 0;
     for (Partition partition : membership.partitions()) {
-      if (partition.zone().equals(settings.zone()) && membership.owned(partition) != 0) {
+      if (partition.zone().equals(settings.zone()) && membership.heldClaimStamp(partition) != 0) {
         ownMachines += view.machinesOf(partition).size();
       }
     }
-    if (ownMachines < Constants.CUT_OFF_MIN_MACHINES || !membership.othersReach()) {
+    if (ownMachines < Constants.CUT_OFF_MIN_MACHINES
+        || !membership.otherControllersReachWorkers()) {
       lastHeard = clock.now();
     } else if (clock.now() - lastHeard > Constants.CUT_OFF_REPORTS * periodMs()) {
-      membership.reaches(false);
+      membership.workersReachable(false);
     }
   }
 
@@ -89,7 +90,7 @@
       }
     }
     if (addrs.isEmpty()) {
-      membership.reaches(true);
+      membership.workersReachable(true);
       return;
     }
     out.call(
@@ -101,7 +102,7 @@
         (status, body) -> {
           if (status == 200) {
             lastHeard = clock.now();
-            membership.reaches(true);
+            membership.workersReachable(true);
           }
         });
   }
--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -130,10 +130,10 @@
     }
     reachability.heard(report.zone());
     Partition partition = partitionOf(report);
-    long claim = membership.owned(partition);
+    long claim = membership.heldClaimStamp(partition);
     if (claim == 0) {
       String owner = membership.owner(partition);
-      owner = owner == null ? membership.heir(partition) : owner;
+      owner = owner == null ? membership.assignedOwner(partition) : owner;
       boolean other = owner != null && !owner.equals(settings.label());
       out.answer(request, 421, Json.bytes(WorkerCodec.redirect(other ? owner : null)));
       return;
@@ -209,7 +209,7 @@
         nextFullCheck = fullCheck ? now + Constants.MACHINE_FULL_CHECK_MS : nextFullCheck;
         sessions.values().removeIf(worker -> !worker.recordWriteInProgress && !owns(worker));
         for (Partition partition : membership.partitions()) {
-          if (membership.owned(partition) != 0) {
+          if (membership.heldClaimStamp(partition) != 0) {
             List.copyOf(view.machinesOf(partition)).forEach(m -> checkMachine(m, fullCheck));
           }
         }
@@ -217,7 +217,7 @@
     }
     deadline.tick();
     for (Partition partition : membership.partitions()) {
-      long claim = membership.owned(partition);
+      long claim = membership.heldClaimStamp(partition);
       if (claim == 0) {
         writers.remove(partition);
       } else {
@@ -233,7 +233,7 @@
   private boolean ownershipChanged() {
     long sum = 0;
     for (Partition partition : membership.partitions()) {
-      sum += membership.owned(partition);
+      sum += membership.heldClaimStamp(partition);
     }
     boolean changed = sum != ownedStampSum;
     ownedStampSum = sum;
@@ -242,7 +242,7 @@
 
   private void checkMachine(String name, boolean fullCheck) {
     StateCache.Entry<Machine> entry = view.machines.get(name);
-    long claim = entry == null ? 0 : membership.owned(entry.value().part());
+    long claim = entry == null ? 0 : membership.heldClaimStamp(entry.value().partition());
     if (claim == 0) {
       return;
     }
@@ -251,10 +251,10 @@
     if (worker.addr.isEmpty()) {
       worker.addr = machine.addr();
     }
-    PartitionWriter writer = writer(machine.part(), claim);
+    PartitionWriter writer = writer(machine.partition(), claim);
     if (view.drains.get(name) == StateCache.Drain.GONE) {
       if (goneMachines.add(name)) {
-        replication.gone(machine.part(), name);
+        replication.machineGone(machine.partition(), name);
       }
       writer.dirty(name);
       return;
@@ -334,7 +334,7 @@
   private List<MachineCapacity> candidates() {
     List<MachineCapacity> capacities = new ArrayList<>();
     for (Partition partition : membership.partitions()) {
-      long claim = membership.owned(partition);
+      long claim = membership.heldClaimStamp(partition);
       if (claim != 0) {
         capacities.addAll(placer.capacities(partition, claim));
       }
@@ -349,7 +349,7 @@
   private Map<TaskId, Partition> pendingTasks() {
     Map<TaskId, Partition> found = new LinkedHashMap<>();
     for (Partition partition : membership.partitions()) {
-      long claim = membership.owned(partition);
+      long claim = membership.heldClaimStamp(partition);
       if (claim != 0) {
         PartitionWriter writer = writer(partition, claim);
         view.unplaced(partition).stream()
@@ -380,13 +380,13 @@
 
   private boolean owns(WorkerSession worker) {
     StateCache.Entry<Machine> entry = view.machines.get(worker.name);
-    return entry != null && membership.owned(entry.value().part()) == worker.claim
+    return entry != null && membership.heldClaimStamp(entry.value().partition()) == worker.claim
         || clock.now() - worker.createdAt < Constants.UNREGISTERED_MS && entry == null;
   }
 
   /** The session of the machine's worker; null if this controller does not own the machine. */
   private WorkerSession ownedSession(Machine machine) {
-    long claim = membership.owned(machine.part());
+    long claim = membership.heldClaimStamp(machine.partition());
     return claim == 0 ? null : session(machine.name(), claim);
   }
 
@@ -408,7 +408,9 @@
   private void inherit(WorkerSession worker) {
     StateCache.Entry<Machine> machine = view.machines.get(worker.name);
     Replication.InheritedWorker inherited =
-        machine == null ? null : replication.inherited(machine.value().part(), worker.name);
+        machine == null
+            ? null
+            : replication.inheritedWorker(machine.value().partition(), worker.name);
     if (inherited == null) {
       return;
     }
@@ -458,7 +460,7 @@
 
     @Override
     public PartitionWriter writer(Partition partition) {
-      long ownedClaim = membership.owned(partition);
+      long ownedClaim = membership.heldClaimStamp(partition);
       return ownedClaim == 0 ? null : Workers.this.writer(partition, ownedClaim);
     }
 
@@ -470,7 +472,7 @@
 
   private void onNewerToken(Partition partition, WorkerSession worker, WorkerCodec.Report report) {
     if (report.token() >> Constants.TOKEN_BITS > worker.claim) {
-      membership.overtaken(partition, worker.claim);
+      membership.claimSuperseded(partition, worker.claim);
     }
     store.refresh();
   }
@@ -513,7 +515,7 @@
       TaskId task = it.next();
       if (!report.tasks().containsKey(task) && !worker.pendingLaunches.containsKey(task)) {
         it.remove();
-        replication.ended(partitionOf(report), worker.name, task);
+        replication.taskEnded(partitionOf(report), worker.name, task);
       }
     }
   }
@@ -564,9 +566,9 @@
       worker.missedResponses = 0; // the worker answered, so messages reach it
       acceptReport(worker, report, false);
       StateCache.Entry<Machine> entry = view.machines.get(worker.name);
-      long claim = entry == null ? 0 : membership.owned(entry.value().part());
+      long claim = entry == null ? 0 : membership.heldClaimStamp(entry.value().partition());
       if (claim == worker.claim && claim != 0) {
-        PartitionWriter writer = writer(entry.value().part(), claim);
+        PartitionWriter writer = writer(entry.value().partition(), claim);
         markIfChanged(worker, entry.value(), writer);
         commands.sendUrgent(worker, entry.value(), writer);
       }
--- a/src/test/java/org/baygw/control/model/PartitionRecordTest.java
+++ b/src/test/java/org/baygw/control/model/PartitionRecordTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pages of a partition's record: the same place for a machine whoever works it out, and evenly
- * filled.
+ * Pages of a partition's record: splitting moves machines only to the new pages, machines are
+ * spread evenly, and a page is read as it was written.
  */
 final class PartitionRecordTest {
   private static String machine(int i) {
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void onePageMoreMovesMachinesOnlyFromThePageThatIsSplit() {
+  void addingAPageMovesMachinesOnlyFromTheSplitPage() {
     for (int pages = 1; pages <= 64; pages++) {
       int moved = 0;
       for (int i = 0; i < 2_000; i++) {
@@ -27,12 +27,12 @@
         assertTrue(after == before || moves, machine(i) + " of " + pages);
         moved += moves ? 1 : 0;
       }
-      assertTrue(moved > 0, "nothing on page " + pages);
+      assertTrue(moved > 0, "no machine moved to page " + pages);
     }
   }
 
   @Test
-  void twiceThePagesLeaveAMachineOrMoveItToTheNewHalf() {
+  void doublingThePagesKeepsMachinesOrMovesThemToTheNewHalf() {
     for (int pages = 1; pages <= 32; pages *= 2) {
       for (int i = 0; i < 2_000; i++) {
         int before = PartitionRecord.pageOf(machine(i), pages);
@@ -43,29 +43,32 @@
   }
 
   @Test
-  void theMachinesOfOnePartSpreadOverItsPages() {
-    // Were the partition's own hash taken again, the machines of a partition would share few pages.
-    int[] on = new int[8];
+  void machinesOfAPartitionSpreadOverItsPages() {
+    // With the hash that selects the partition, its machines would share few pages.
+    int[] machinesByPage = new int[8];
     int all = 0;
     for (int i = 0; i < 8_000; i++) {
       if (Partition.of(machine(i), "a", 8).index() == 3) {
-        on[PartitionRecord.pageOf(machine(i), 8)]++;
+        machinesByPage[PartitionRecord.pageOf(machine(i), 8)]++;
         all++;
       }
     }
-    for (int n : on) {
-      assertTrue(n > all / 16 && n < all / 4, n + " of " + all);
+    for (int count : machinesByPage) {
+      assertTrue(count > all / 16 && count < all / 4, count + " of " + all);
     }
   }
 
   @Test
   void aPageIsReadAsItWasWritten() {
-    PartitionRecord r = PartitionRecord.EMPTY.copy().withPages(4);
-    r.on().put("n-000001", PartitionRecord.tasks(Map.of(new TaskId("run-1", 3), 2)));
-    r.conditions().put("n-000001", "SILENT");
-    r.done().put("run-1", "0-2");
-    r.back().put("run-1", "5*2");
-    assertEquals(r, Records.record(Json.parse(Json.bytes(Records.record(r)))));
-    assertEquals(1, Records.record(Json.parse("{\"on\":{}}".getBytes())).pages());
+    PartitionRecord record = PartitionRecord.EMPTY.copy().withPageCount(4);
+    record
+        .tasksByMachine()
+        .put("n-000001", PartitionRecord.tasks(Map.of(new TaskId("run-1", 3), 2)));
+    record.conditionsByMachine().put("n-000001", "SILENT");
+    record.completedByJob().put("run-1", "0-2");
+    record.requeuedByJob().put("run-1", "5*2");
+    assertEquals(
+        record, Records.partitionRecord(Json.parse(Json.bytes(Records.partitionRecord(record)))));
+    assertEquals(1, Records.partitionRecord(Json.parse("{\"on\":{}}".getBytes())).pageCount());
   }
 }
