--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -106,8 +106,8 @@
   public static final long HOLD_TTL_MS = 5_000;
 
   /**
-   * ms for which a planned handover waits for standbys to catch up: a batch and its answer. They do
-   * without what has not come by then.
+   * ms for which a planned handover waits for standbys to catch up: enough for a batch and its
+   * answer. Standbys take over without the decisions that have not arrived by then.
    */
   public static final long HANDOVER_FLUSH_MS = 1_500;
 
@@ -116,13 +116,13 @@
    */
   public static final long HANDOVER_MOST_MS = 8_000;
 
-  /** Bytes of updates in one message to a standby: it fits into a body with all that is around. */
+  /** Bytes of updates in one message to a standby; the whole message must fit a request body. */
   public static final int REPLICATION_BYTES = 40 * 1024;
 
-  /** ms. A standby answers within it or the message counts as lost. */
+  /** ms within which a standby must answer a replication message, else the message counts as lost. */
   public static final int REPLICATION_TIMEOUT_MS = 2_000;
 
-  /** ms between looks at who is active and who is standby of which role. */
+  /** ms between updates of which controller is active and which is standby for each role. */
   public static final long ROLE_LOOK_MS = 200;
 
   /**
