--- a/src/main/java/org/baygw/control/standby/DecisionCodec.java
+++ b/src/main/java/org/baygw/control/standby/DecisionCodec.java
@@ -8,9 +8,9 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Decisions in Avro's binary encoding, field by field in the order of {@code
- * avro/ReplicationMessage.avsc}. Their places in its union are the numbers of the kinds here, so
- * new kinds are added at the end.
+ * Encodes and decodes decisions in Avro's binary encoding, field by field in the order of {@code
+ * avro/ReplicationMessage.avsc}. The constants are the positions of the types in the schema's
+ * union, so new types are added at the end.
  */
 final class DecisionCodec {
   private static final int SESSION_KNOWN = 0;
@@ -26,10 +26,10 @@
   private static final int GRANTS_ENDED = 10;
   private static final int CAPACITY_REFUSED = 11;
 
-  /** Bytes that numbers and lengths of one decision take at the most. */
+  /** Upper bound of the bytes for the numbers and length prefixes of one decision. */
   private static final int NUMBERS_BYTES = 30;
 
-  /** Bytes of a decision, at the most. */
+  /** Upper bound of the encoded size of a decision, in bytes. */
   static int sizeOf(Decision decision) {
     int names = 0;
     if (decision instanceof Decision.SessionKnown d) {
@@ -60,7 +60,7 @@
     return names + NUMBERS_BYTES;
   }
 
-  /** Bytes of a text in UTF-8, at the most. */
+  /** Upper bound of the size of a text in UTF-8, in bytes. */
   private static int bytes(String text) {
     return 3 * text.length();
   }
@@ -113,17 +113,17 @@
       out.writeBoolean(d.spot());
       out.writeLong(d.untilMs());
     } else {
-      throw new IllegalStateException("a decision of an unknown kind: " + decision);
+      throw new IllegalStateException("unknown decision type: " + decision);
     }
   }
 
-  /** Writes the kind and the name that each decision begins with. */
+  /** Writes the type and the name with which each decision begins. */
   private static void writeKind(BinaryEncoder out, int kind, String name) throws IOException {
     out.writeIndex(kind);
     out.writeString(name);
   }
 
-  /** Throws where there is no decision of a known kind. */
+  /** Reads one decision; throws if its type is unknown. */
   static Decision read(BinaryDecoder in) throws IOException {
     int kind = in.readIndex();
     String name = in.readString();
@@ -142,7 +142,7 @@
       case GRANTS_ENDED -> new Decision.GrantsEnded(name, readTasks(in));
       case CAPACITY_REFUSED ->
           new Decision.CapacityRefused(name, in.readString(), in.readBoolean(), in.readLong());
-      default -> throw new IOException("a decision of the unknown kind " + kind);
+      default -> throw new IOException("unknown decision type " + kind);
     };
   }
 
@@ -158,7 +158,7 @@
     try {
       tasks.deserialize(in.readBytes(null));
     } catch (UncheckedIOException | IndexOutOfBoundsException e) {
-      throw new IOException("a bitmap that cannot be read", e);
+      throw new IOException("malformed task bitmap", e);
     }
     return tasks;
   }
