--- a/src/main/java/org/baygw/control/standby/DecisionLog.java
+++ b/src/main/java/org/baygw/control/standby/DecisionLog.java
@@ -7,8 +7,9 @@
 import java.util.List;
 
 /**
- * The decisions of one role in one epoch, numbered from 1, at the controller that is active for it:
- * their sum, and as many of the last ones as the bound allows. Appending never waits for anybody.
+ * The decisions of one role in one epoch, numbered from 1, at the controller that is active for the
+ * role: the state that results from them and a bounded tail of the latest ones. Appending never
+ * waits for a standby.
  */
 final class DecisionLog {
   private final Role role;
@@ -19,9 +20,9 @@
   private long last;
 
   /**
-   * Begins a log.
+   * Creates an empty log.
    *
-   * @param base what was inherited from the former epoch
+   * @param base the state inherited from the former epoch
    * @param bound how many decisions are kept for a standby that lags
    */
   DecisionLog(Role role, long epoch, RoleState base, int bound) {
@@ -39,17 +40,17 @@
     return epoch;
   }
 
-  /** The sum of all decisions so far. */
+  /** The state after all decisions so far. */
   RoleState state() {
     return state;
   }
 
-  /** The number of the last decision; 0 if there was none. */
+  /** The sequence number of the last decision; 0 if there was none. */
   long last() {
     return last;
   }
 
-  /** Decisions that are kept. */
+  /** Number of decisions in the tail. */
   int kept() {
     return tail.size();
   }
@@ -63,12 +64,15 @@
     }
   }
 
-  /** Whether all decisions after this number are kept; otherwise a snapshot is needed. */
+  /** Whether the tail has all decisions after {@code sequence}; if not, a snapshot is needed. */
   boolean reachesBackTo(long sequence) {
     return sequence >= last - tail.size() && sequence <= last;
   }
 
-  /** The decisions after a number that it reaches back to, as many as go into so many bytes. */
+  /**
+   * The decisions after a sequence number that the tail reaches back to, as many as fit into the
+   * given number of bytes but at least one if there is any.
+   */
   List<Decision> after(long sequence, int bytes) {
     List<Decision> found = new ArrayList<>();
     Iterator<Decision> decisions = tail.iterator();
