--- a/src/main/java/org/baygw/control/standby/EmissionFence.java
+++ b/src/main/java/org/baygw/control/standby/EmissionFence.java
@@ -5,11 +5,11 @@
 import org.baygw.control.Constants;
 
 /**
- * Withholds orders to workers between deciding and sending them where this controller may have been
- * replaced meanwhile: it stood still for so long that its membership lease may have run out. A
- * decision made in time is sent; one that is old when it comes to be sent is not, and after a stop
- * nothing is sent until the lease is known to live or the state service has had time to answer.
- * What has left this process is fenced by the workers' tokens.
+ * Withholds orders to workers between decision and sending if another controller may have replaced
+ * this one meanwhile, because it stalled for so long that its membership lease may have expired. A
+ * recent decision is sent; a stale one is not, and after a stall nothing is sent until the lease is
+ * known to be valid or the state service has had time to answer. Orders that have left this process
+ * are fenced by the workers' tokens.
  */
 final class EmissionFence {
   private final LongSupplier leaseValidUntil;
@@ -19,17 +19,17 @@
   private long withheld;
 
   /**
-   * Makes a fence.
+   * Creates a fence.
    *
-   * @param leaseValidUntil the steady time until which the membership lease certainly lives
-   * @param releasing whether the roles are just being released
+   * @param leaseValidUntil the monotonic time until which the membership lease is certainly valid
+   * @param releasing whether the roles are being released
    */
   EmissionFence(LongSupplier leaseValidUntil, BooleanSupplier releasing) {
     this.leaseValidUntil = leaseValidUntil;
     this.releasing = releasing;
   }
 
-  /** An input is about to be handled. */
+  /** Called before each input is handled; detects stalls. */
   void input(long now) {
     boolean stoodStill = lastInput != Long.MIN_VALUE && now - lastInput > Constants.STALL_MS;
     if (stoodStill && now >= leaseValidUntil.getAsLong()) {
@@ -38,7 +38,7 @@
     lastInput = now;
   }
 
-  /** Whether orders that were decided then are not to be sent now. */
+  /** Whether orders that were decided at {@code decidedAt} must not be sent at {@code now}. */
   boolean withholds(long decidedAt, long now) {
     boolean leaseLives = now < leaseValidUntil.getAsLong();
     boolean stale = now - decidedAt > Constants.STALL_MS || now < doubtUntil;
@@ -47,7 +47,7 @@
     return withhold;
   }
 
-  /** Batches of orders that were withheld so far. */
+  /** Number of batches of orders withheld so far. */
   long withheld() {
     return withheld;
   }
