--- a/src/main/java/org/baygw/control/standby/Handover.java
+++ b/src/main/java/org/baygw/control/standby/Handover.java
@@ -7,31 +7,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A planned handover of all roles of this controller: it makes known that it leaves, lets its
- * standbys catch up for a moment, stops giving orders, and deletes its claims. Nobody waits for a
- * lease to run out.
+ * A planned handover of all roles of this controller: it announces that it is leaving, gives its
+ * standbys a short time to catch up, stops issuing orders and deletes its claims. Successors need
+ * not wait for a lease to expire.
  */
 final class Handover {
-  /** How far it is. */
+  /** The progress of a handover. */
   enum Phase {
-    /** None was asked for. */
+    /** No handover was requested. */
     NONE,
-    /** Its member key is to say that it leaves, so that the others claim what it releases. */
+    /** Marking the member key as leaving, so that other controllers claim the released roles. */
     ANNOUNCING,
-    /** Its standbys are to catch up. */
+    /** Waiting for the standbys to catch up. */
     FLUSHING,
-    /** No orders are given while the claims are being deleted. */
+    /** Deleting the claims; no orders are issued meanwhile. */
     RELEASING,
-    /** It holds no role. */
+    /** This controller holds no role. */
     RELEASED
   }
 
   /** The logs and streams of the roles that are handed over. */
   interface Roles {
-    /** Whether all standbys have all decisions. */
+    /** Whether all standbys have acknowledged all decisions. */
     boolean upToDate();
 
-    /** The claims are gone: the standbys are told. */
+    /** Notifies the standbys that the claims have been deleted. */
     void released();
   }
 
@@ -56,35 +56,35 @@
   }
 
   /**
-   * Whether orders are to be withheld. Not for longer than a write takes: where the state service
-   * does not answer this controller stays active as far as anybody can tell, and its workers'
-   * leases must not end.
+   * Whether orders must be withheld, for no longer than a write takes: if the state service does
+   * not answer, this controller is still active as far as anyone can tell, and the leases of its
+   * workers must not expire.
    */
   boolean releasing() {
     return phase == Phase.RELEASING && clock.now() - releasingSince < Constants.HANDOVER_FLUSH_MS;
   }
 
-  /** Begins, if none is under way. */
+  /** Begins a handover unless one is in progress. */
   void begin() {
     if (phase == Phase.NONE) {
       enter(Phase.ANNOUNCING);
     }
   }
 
-  /** Begins, and ends this controller's membership after it: the process is about to end. */
+  /** Begins a handover after which this controller ends its membership, so the process can exit. */
   void beginToEnd() {
     ending = true;
     begin();
   }
 
-  /** This controller takes roles again. */
+  /** Cancels the handover unless claims are being deleted; this controller takes roles again. */
   void cancel() {
     if (phase != Phase.RELEASING) {
       enter(Phase.NONE);
     }
   }
 
-  /** Whether nothing is left that the end of the process would interrupt. */
+  /** Whether the process can exit without interrupting the handover. */
   boolean ended() {
     return ending && phase == Phase.RELEASED && membership.left();
   }
@@ -110,7 +110,7 @@
         }
       }
       default -> {
-        // The write's outcome goes on.
+        // RELEASING: the outcome of the write starts the next phase.
       }
     }
   }
@@ -121,8 +121,9 @@
     boolean begun =
         membership.release(
             ok -> {
-              // Where claims are left, of many or after a conflict, they are released next. A
-              // conflict without any left is a release whose first answer was lost.
+              // Claims that are left, because of the limit for one write or after a conflict, are
+              // released next. A conflict with no claim left means that an earlier attempt had
+              // succeeded and its answer was lost.
               boolean left = membership.ownsAny();
               if (!left) {
                 roles.released();
