--- a/src/main/java/org/baygw/control/standby/MachineState.java
+++ b/src/main/java/org/baygw/control/standby/MachineState.java
@@ -7,11 +7,11 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * What an owner knows of one machine beyond the durable record. Immutable.
+ * What a partition's owner knows of one machine beyond the durable record. Immutable.
  *
- * @param session the worker's session; 0 where it is not known
- * @param launched tasks that this owner or a former one launched there, by job
- * @param failures tasks that failed there since one last completed, by job
+ * @param session the worker's session; 0 if unknown
+ * @param launched tasks that this owner or a former one launched on the machine, by job
+ * @param failures number of tasks that failed on the machine since one last completed there, by job
  */
 record MachineState(
     String address,
@@ -57,7 +57,7 @@
     return new MachineState(address, session, launched, failures, true);
   }
 
-  /** The decisions that lead from an unknown machine to this state. */
+  /** The decisions that rebuild this state from {@link #UNKNOWN}. */
   List<Decision> decisions(String machine) {
     List<Decision> decisions = new ArrayList<>();
     if (session != 0 || !address.isEmpty()) {
