--- a/src/main/java/org/baygw/control/standby/Reconciliation.java
+++ b/src/main/java/org/baygw/control/standby/Reconciliation.java
@@ -10,8 +10,8 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Compares a replica with the durable record at a takeover. The record wins: what the replica has
- * beside it is dropped, and each difference is counted.
+ * Compares a replica with the durable record at a takeover. The record wins: entries that only the
+ * replica has are dropped, and each difference is counted.
  */
 final class Reconciliation {
   private final StateCache view;
@@ -23,9 +23,9 @@
   }
 
   /**
-   * A state that fits the record.
+   * A state that is consistent with the record.
    *
-   * @param differences what the replica had and the record has not, and tasks on record that the
+   * @param differences number of entries that only the replica had, and of tasks on record that the
    *     replica lacked
    */
   record Result(RoleState state, long differences) {}
@@ -84,7 +84,10 @@
             });
   }
 
-  /** Tasks on record of which the replica does not know the launch: a lag, or not launched yet. */
+  /**
+   * Counts tasks on record whose launch the replica does not know, because it lagged or because
+   * they have not been launched yet.
+   */
   private void countMissing(String name, MachineState machine) {
     for (TaskId task : view.on(name).keySet()) {
       TimedTasks known = machine.launched().getOrDefault(task.job(), TimedTasks.NONE);
@@ -110,7 +113,7 @@
     return all;
   }
 
-  /** The tasks of a job's timed tasks, each with its age at this time of day. */
+  /** Adds to {@code ages} the age of each of a job's tasks in ms, at the given wall-clock time. */
   static void ages(String job, TimedTasks tasks, long nowMs, Map<TaskId, Long> ages) {
     for (TimedTasks.Batch batch : tasks.batches()) {
       long ageMs = Math.max(0, nowMs - batch.atMs());
