--- a/src/main/java/org/baygw/control/standby/Replica.java
+++ b/src/main/java/org/baygw/control/standby/Replica.java
@@ -3,11 +3,12 @@
 import java.util.List;
 
 /**
- * A standby's copy of a role's state. It applies decisions in their order, each once; it drops what
- * is of an older epoch or already applied, and asks for a snapshot where something is missing.
+ * A standby's copy of a role's state. Applies decisions in order, each once, drops updates of older
+ * epochs and decisions that were applied before, and reports in its acknowledgement from where
+ * decisions are missing or that it needs a snapshot.
  */
 final class Replica {
-  /** How updates were dealt with, for operators. */
+  /** Counts of handled updates and decisions, for operators. */
   static final class Counters {
     long applied;
     long repeated;
@@ -24,7 +25,7 @@
   private long epoch;
   private long applied = NOTHING;
 
-  /** The snapshot that is being received: its decisions' sum, its number and its next part. */
+  /** The state rebuilt so far from the snapshot that is being received. */
   private RoleState partial = RoleState.EMPTY;
 
   private long partialSequence = NOTHING;
@@ -40,7 +41,10 @@
     this.heardAt = now;
   }
 
-  /** The state as far as it has been applied, of {@link #epoch()}. */
+  /**
+   * The state after the last decision applied. Until the first snapshot of {@link #epoch()} is
+   * complete, this is the state known from an earlier epoch.
+   */
   RoleState state() {
     return state;
   }
@@ -49,27 +53,27 @@
     return epoch;
   }
 
-  /** The number of the last decision applied; negative where there is no state of the epoch yet. */
+  /** The sequence number of the last decision applied; negative without a state of the epoch. */
   long applied() {
     return applied;
   }
 
-  /** When the active controller was last heard. */
+  /** When the active controller was last heard from. */
   long heardAt() {
     return heardAt;
   }
 
-  /** Whether the active controller of that epoch has said that it has given the role up. */
+  /** Whether the active controller of the given epoch has announced the release of the role. */
   boolean released(long ofEpoch) {
     return releasedEpoch == ofEpoch && ofEpoch > 0;
   }
 
-  /** The last decision of the epoch that was released. */
+  /** The sequence number of the last decision of the released epoch. */
   long finalSequence() {
     return finalSequence;
   }
 
-  /** Takes an update in and says how far this replica is. */
+  /** Applies an update and returns what this replica has applied. */
   RoleAck receive(RoleUpdate update, long now) {
     if (update.epoch() < epoch) {
       counters.outdated++;
@@ -90,7 +94,7 @@
     return ack();
   }
 
-  /** A new epoch: what is known stays until the epoch's own snapshot has come. */
+  /** Starts a new epoch; the known state is kept until the new epoch's snapshot is complete. */
   private void begin(long newEpoch) {
     epoch = newEpoch;
     applied = NOTHING;
@@ -100,7 +104,7 @@
   private void append(RoleUpdate.LogUpdate log) {
     if (applied == NOTHING || log.first() > applied + 1) {
       counters.gaps += applied == NOTHING ? 0 : 1;
-      return; // the answer says what is missing
+      return; // the acknowledgement tells the sender what is missing
     }
     List<Decision> decisions = log.decisions();
     long known = Math.min(decisions.size(), applied + 1 - log.first());
