--- a/src/main/java/org/baygw/control/standby/ReplicationCodec.java
+++ b/src/main/java/org/baygw/control/standby/ReplicationCodec.java
@@ -10,9 +10,9 @@
 import org.apache.avro.io.EncoderFactory;
 
 /**
- * Messages between active and standby in Avro's binary encoding, field by field in the order of
- * {@code avro/ReplicationMessage.avsc} and {@code avro/ReplicationAnswer.avsc}; for the reason see
- * {@code PeerStatusCodec}.
+ * Encodes and decodes messages between active and standby in Avro's binary encoding, field by field
+ * in the order of {@code avro/ReplicationMessage.avsc} and {@code avro/ReplicationAnswer.avsc}. See
+ * {@code PeerStatusCodec} for why Avro's generated classes are not used.
  */
 final class ReplicationCodec {
   private static final int LOG_UPDATE = 0;
@@ -41,7 +41,7 @@
         });
   }
 
-  /** Throws where the body is no such message. */
+  /** Throws if the body is not a replication message. */
   static ReplicationMessage decode(byte[] body) throws IOException {
     BinaryDecoder in = DecoderFactory.get().binaryDecoder(body, null);
     return new ReplicationMessage(in.readString(), list(in, ReplicationCodec::readUpdate));
@@ -64,7 +64,7 @@
         });
   }
 
-  /** Throws where the body is no such answer. */
+  /** Throws if the body is not an answer to a replication message. */
   static ReplicationMessage.Answer decodeAnswer(byte[] body) throws IOException {
     BinaryDecoder in = DecoderFactory.get().binaryDecoder(body, null);
     return new ReplicationMessage.Answer(
@@ -86,7 +86,7 @@
       writer.write(out);
       out.flush();
     } catch (IOException e) {
-      throw new IllegalStateException("an array that cannot be written", e);
+      throw new IllegalStateException("cannot write to an in-memory buffer", e);
     }
     return bytes.toByteArray();
   }
@@ -141,7 +141,7 @@
               in.readBoolean(),
               list(in, DecisionCodec::read));
       case RELEASE -> new RoleUpdate.Release(role, epoch, in.readLong());
-      default -> throw new IOException("an update of the unknown kind " + kind);
+      default -> throw new IOException("unknown update type " + kind);
     };
   }
 
