--- a/src/main/java/org/baygw/control/standby/ReplicationMessage.java
+++ b/src/main/java/org/baygw/control/standby/ReplicationMessage.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 
-/** All that one controller tells another of the roles that it is active for. */
+/** Updates from one controller to another on the roles for which the sender is active. */
 record ReplicationMessage(String sender, List<RoleUpdate> updates) {
-  /** The answer to such a message. */
+  /** The answer to a replication message. */
   record Answer(String sender, List<RoleAck> acks) {}
 }
