--- a/src/main/java/org/baygw/control/standby/ReplicationStream.java
+++ b/src/main/java/org/baygw/control/standby/ReplicationStream.java
@@ -6,27 +6,28 @@
 import java.util.List;
 
 /**
- * What an active controller sends one standby of one role, and how far the standby is. One message
- * at a time is under way; one without an answer is made up anew from the last acknowledged number.
+ * Builds the updates on one role for one standby and tracks the standby's progress. Only one
+ * message is in flight at a time; if no answer comes, the next update is built again from the last
+ * acknowledged sequence number.
  */
 final class ReplicationStream {
   private final DecisionLog log;
   private final String standby;
   private long acknowledged = RoleAck.NEEDS_SNAPSHOT;
 
-  /** The number of the last decision when the latest update was made. */
+  /** The sequence number of the last decision when the latest update was built. */
   private long lastWhenSent;
 
-  /** Since when decisions wait for their acknowledgement; 0 where none does. */
+  /** Since when there have been unacknowledged decisions; 0 if there are none. */
   private long laggingSince;
 
-  /** The snapshot that is being sent: what is left of it, its number, and how many parts it had. */
+  /** The decisions of the snapshot in progress that are not in a part yet; null if there is none. */
   private PeekingIterator<Decision> snapshot;
 
   private long snapshotSequence = RoleAck.NEEDS_SNAPSHOT;
   private int parts;
 
-  /** The part that is under way, or null. */
+  /** The part in flight, or null. */
   private RoleUpdate.SnapshotPart part;
 
   ReplicationStream(DecisionLog log, String standby) {
@@ -42,17 +43,17 @@
     return log;
   }
 
-  /** The number of the last decision that the standby has applied; negative before a snapshot. */
+  /** The sequence number of the last decision that the standby applied; negative before a snapshot. */
   long acknowledged() {
     return acknowledged;
   }
 
-  /** How many decisions the standby lacks. */
+  /** Number of decisions that the standby lacks. */
   long lag() {
     return log.last() - Math.max(0, acknowledged);
   }
 
-  /** For how long the standby has lacked decisions, in ms. */
+  /** How long the standby has lacked decisions, in ms. */
   long lagMs(long now) {
     return laggingSince == 0 ? 0 : now - laggingSince;
   }
@@ -61,12 +62,12 @@
     return acknowledged == log.last();
   }
 
-  /** Notes the time at which the standby began to lag. */
+  /** Records the time at which the standby began to lag. */
   void tick(long now) {
     laggingSince = upToDate() ? 0 : laggingSince == 0 ? now : laggingSince;
   }
 
-  /** The next update, of about so many bytes at the most. */
+  /** The next update, of at most about the given number of bytes. */
   RoleUpdate next(int bytes) {
     lastWhenSent = log.last();
     if (acknowledged != RoleAck.NEEDS_SNAPSHOT && log.reachesBackTo(acknowledged)) {
@@ -103,9 +104,10 @@
   }
 
   /**
-   * Takes the standby's answer in; of an epoch that is not this log's it says nothing.
+   * Processes an acknowledgement from the standby; one for another epoch is ignored.
    *
-   * @return whether the standby got on and the message that it answers left something out
+   * @return whether the standby made progress but the update that it acknowledges did not contain
+   *     all decisions of that time
    */
   boolean acknowledge(RoleAck ack) {
     if (ack.epoch() != log.epoch()) {
@@ -124,9 +126,9 @@
 
   private void continueSnapshot(int received) {
     if (received == part.part() + 1) {
-      part = null; // the next one is made when it is sent
+      part = null; // the next part is built when it is sent
     } else if (received != part.part()) {
-      endSnapshot(); // the standby began anew
+      endSnapshot(); // the standby started over
     }
   }
 
