--- a/src/main/java/org/baygw/control/standby/Replicator.java
+++ b/src/main/java/org/baygw/control/standby/Replicator.java
@@ -15,19 +15,19 @@
 import org.baygw.control.store.Store;
 
 /**
- * Carries decision logs from this controller to its standbys and takes in those of others. To each
- * sibling one message at a time is under way, with all roles of which it is the standby.
+ * Sends this controller's decision logs to its standbys and receives the logs of other controllers.
+ * Each peer has at most one message in flight, for all roles for which the peer is the standby.
  */
 final class Replicator {
   static final String PATH = "/peer/replication";
 
-  /** The traffic with one sibling. */
+  /** The replication traffic to one peer. */
   private static final class Link {
     private final Settings.Peer peer;
     private boolean sending;
     private long lastSent = Long.MIN_VALUE / 2;
 
-    /** The latest answer left something to be sent at once. */
+    /** Whether decisions that did not fit into the latest message are to be sent at once. */
     private boolean more;
 
     private final List<RoleUpdate.Release> releases = new ArrayList<>();
@@ -73,17 +73,17 @@
     return bytesReceived;
   }
 
-  /** Messages that were not answered in time. */
+  /** Number of messages without a valid answer in time. */
   long unanswered() {
     return unanswered;
   }
 
-  /** Whether what there is goes out without waiting for a batch to fill. */
+  /** Sets whether pending decisions are sent without waiting for the batch interval. */
   void flushing(boolean now) {
     flushing = now;
   }
 
-  /** This controller has given a role up after that decision. */
+  /** Queues the release of a role by this controller for sending to the standby. */
   void release(String standby, RoleUpdate.Release release) {
     Link link = links.get(standby);
     if (link != null) {
@@ -157,13 +157,13 @@
 
   private void answered(Link link, List<RoleUpdate.Release> releases, int status, byte[] body) {
     link.sending = false;
-    // A release is a hint that is told once; the claim's end in the state service is what counts.
+    // A release is a hint that is sent once; the end of the claim in the state service decides.
     link.releases.removeAll(releases);
     ReplicationMessage.Answer answer = null;
     try {
       answer = status == 200 ? ReplicationCodec.decodeAnswer(body) : null;
     } catch (IOException | RuntimeException e) {
-      // Whatever it was, it acknowledges nothing.
+      // An answer that cannot be decoded acknowledges nothing.
     }
     if (answer == null || !answer.sender().equals(link.peer.label())) {
       unanswered++;
@@ -178,12 +178,12 @@
     RoleEntry entry = roles.entry(ack.role());
     ReplicationStream stream = entry == null ? null : entry.stream;
     if (stream != null && stream.standby().equals(link.peer.label())) {
-      // Only what did not fit into the message goes on at once; new decisions make a new batch.
+      // Only decisions that did not fit into the message are sent at once; new ones are batched.
       link.more |= stream.acknowledge(ack);
     }
   }
 
-  /** A sibling's message; answered with how far this controller is. */
+  /** Applies a peer's message and answers with what this controller has applied. */
   void receive(long request, byte[] body) {
     ReplicationMessage message;
     try {
@@ -192,7 +192,7 @@
       message = null;
     }
     if (message == null || !links.containsKey(message.sender())) {
-      out.answer(request, 400, Json.bytes(Json.object().put("error", "no replication message")));
+      out.answer(request, 400, Json.bytes(Json.object().put("error", "not a valid replication message")));
       return;
     }
     bytesReceived += body.length;
@@ -214,7 +214,7 @@
       return new RoleAck(update.role(), entry.log.epoch(), RoleAck.NEEDS_SNAPSHOT, 0);
     }
     if (update instanceof RoleUpdate.Release) {
-      store.refresh(); // to see the claim's end, which is what counts
+      store.refresh(); // to see the end of the claim, which decides
     }
     return roles.replica(entry).receive(update, clock.now());
   }
