--- a/src/main/java/org/baygw/control/standby/Role.java
+++ b/src/main/java/org/baygw/control/standby/Role.java
@@ -4,8 +4,8 @@
 import org.baygw.control.store.Keys;
 
 /**
- * What one controller at a time is active for, by the name of its claim: leadership, or the
- * ownership of a partition. The claim's stamp is the role's epoch.
+ * A responsibility for which one controller at a time is active: leadership or the ownership of a
+ * partition. A role has the name of its claim, and the claim's stamp is the role's epoch.
  */
 record Role(String name) implements Comparable<Role> {
   static final Role LEADER = new Role(Keys.LEADER);
