--- a/src/main/java/org/baygw/control/standby/RoleEntry.java
+++ b/src/main/java/org/baygw/control/standby/RoleEntry.java
@@ -2,16 +2,16 @@
 
 import org.baygw.control.model.Partition;
 
-/** All that a controller has of one role: as standby a replica, as active a log and its stream. */
+/** One role at this controller: a replica while it is standby, a log and stream while active. */
 final class RoleEntry {
   final Role role;
 
-  /** The partition whose ownership the role is; null for leadership. */
+  /** The partition that the role owns; null for leadership. */
   final Partition partition;
 
   final Takeover takeover;
 
-  /** Null until an active controller has sent something. */
+  /** Null until an active controller has sent an update. */
   Replica replica;
 
   /** Null unless this controller is active. */
@@ -20,7 +20,7 @@
   /** Null unless this controller is active and has a standby. */
   ReplicationStream stream;
 
-  /** The controller that would succeed the active one, as last looked at; null where none would. */
+  /** Label of the active controller's successor when standbys were last chosen; null if none. */
   String standby;
 
   RoleEntry(Role role, Partition partition, long suspectMs) {
@@ -29,7 +29,7 @@
     this.takeover = new Takeover(role, suspectMs);
   }
 
-  /** Whether this controller gives the orders of the role. */
+  /** Whether this controller issues the orders of the role. */
   boolean active() {
     return log != null;
   }
