--- a/src/main/java/org/baygw/control/standby/RoleState.java
+++ b/src/main/java/org/baygw/control/standby/RoleState.java
@@ -7,13 +7,15 @@
 import org.pcollections.HashTreePMap;
 
 /**
- * What a role's decisions add up to. Immutable and persistent: a snapshot is a reference, taken
- * while the log goes on, and is sent as the decisions that lead to it.
+ * The state that results from a role's decisions. Immutable, with persistent collections: a
+ * snapshot is a reference that can be taken while the log grows. It is sent as the decisions that
+ * rebuild it.
  *
- * @param machines of a partition, by name
- * @param waitingSinceMs jobs with tasks without capacity, and since when
+ * @param machines the machines of a partition, by name
+ * @param waitingSinceMs since when jobs have had tasks without capacity, by job
  * @param grants tasks that the leader granted, by job
- * @param refusedUntilMs kinds of machines of which the cloud has no more
+ * @param refusedUntilMs kinds of machines that the cloud has run out of, with the time until which
+ *     it is not asked for them
  */
 record RoleState(
     HashPMap<String, MachineState> machines,
@@ -21,7 +23,7 @@
     HashPMap<String, TimedTasks> grants,
     HashPMap<RoleState.Kind, Long> refusedUntilMs) {
 
-  /** A kind of machine. */
+  /** A kind of machine that the cloud offers. */
   record Kind(String type, String zone, boolean spot) {}
 
   static final RoleState EMPTY =
@@ -59,10 +61,10 @@
       return new RoleState(
           machines, waitingSinceMs, grants, refusedUntilMs.plus(kind, d.untilMs()));
     }
-    throw new IllegalStateException("a decision of an unknown kind: " + decision);
+    throw new IllegalStateException("unknown decision type: " + decision);
   }
 
-  /** Without what has run out by this time of day. */
+  /** This state without the capacity refusals that have expired at the given wall-clock time. */
   RoleState withoutExpired(long nowMs) {
     HashPMap<Kind, Long> left = refusedUntilMs;
     for (Map.Entry<Kind, Long> refused : refusedUntilMs.entrySet()) {
@@ -92,7 +94,7 @@
     return new RoleState(machines, waitingSinceMs, next, refusedUntilMs);
   }
 
-  /** The decisions that lead from the empty state to this one, made as they are asked for. */
+  /** The decisions that rebuild this state from the empty one, generated lazily. */
   Iterator<Decision> decisions() {
     Iterator<Iterator<? extends Decision>> ofMachines =
         Iterators.transform(
