--- a/src/main/java/org/baygw/control/standby/RoleTable.java
+++ b/src/main/java/org/baygw/control/standby/RoleTable.java
@@ -15,14 +15,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who is active and who is standby of each role, as far as this controller sees it. The standby is
- * the controller that the rules of membership make the successor, so there is never another one to
- * agree on.
+ * Tracks which controller is active and which is standby for each role, as seen by this controller.
+ * The standby is always the successor by the membership rules, so controllers need no separate
+ * agreement on it.
  */
 final class RoleTable {
   private static final Logger LOG = LoggerFactory.getLogger(RoleTable.class);
 
-  /** Periods of silence after which what a former active controller sent is dropped. */
+  /**
+   * Multiple of the suspicion timeout for which the replica of a silent active controller is kept
+   * once this controller is no longer the successor.
+   */
   private static final int KEPT_SUSPECT_PERIODS = 4;
 
   private final Clock clock;
@@ -35,7 +38,7 @@
   private final Map<Partition, RoleEntry> byPartition = new HashMap<>();
   private long nextLook;
 
-  /** Changes of claims and members when standbys were last chosen. */
+  /** The state cache's count of claim and member changes when standbys were last chosen. */
   private long ownershipChanges = -1;
 
   private long takeovers;
@@ -58,7 +61,7 @@
     return entries.values();
   }
 
-  /** The entry of a role; null where there is no such role. */
+  /** The entry of a role; null if there is no such role. */
   RoleEntry entry(Role role) {
     if (entries.isEmpty()) {
       makeEntries();
@@ -70,17 +73,17 @@
     return counters;
   }
 
-  /** How often this controller has become active for a role. */
+  /** Number of times that this controller has become active for a role. */
   long takeovers() {
     return takeovers;
   }
 
-  /** Differences between replicas and the durable record, found at takeovers. */
+  /** Number of differences between replicas and the durable record, found at takeovers. */
   long differences() {
     return differences;
   }
 
-  /** The log of a partition's role, if this controller is active for it, else null. */
+  /** The log of a partition's role if this controller is active for it, else null. */
   DecisionLog log(Partition partition) {
     if (entries.isEmpty()) {
       makeEntries();
@@ -88,7 +91,7 @@
     return log(byPartition.get(partition));
   }
 
-  /** The log of the leader's role, if this controller leads, else null. */
+  /** The log of the leader role if this controller is the leader, else null. */
   DecisionLog leaderLog() {
     return log(entry(Role.LEADER));
   }
@@ -102,7 +105,7 @@
       return null;
     }
     if (!entry.active() || entry.log.epoch() != epoch) {
-      look(entry); // the role has just become this controller's
+      look(entry); // this controller has just acquired the role
     }
     return entry.log;
   }
@@ -119,7 +122,7 @@
     entries.values().forEach(this::look);
   }
 
-  /** The number of partitions is durable and never changes, so entries are made once. */
+  /** Creates the entries once: the number of partitions is durable and never changes. */
   private void makeEntries() {
     if (view.partitionsPerZone() == 0) {
       return;
@@ -132,7 +135,7 @@
     }
   }
 
-  /** Only claims and members decide, so without a change of them there is nothing to choose. */
+  /** Standbys depend only on claims and members, so they are chosen again when those change. */
   private void chooseStandbys() {
     if (ownershipChanges != view.ownershipChanges()) {
       ownershipChanges = view.ownershipChanges();
@@ -188,7 +191,7 @@
     }
   }
 
-  /** Begins the log of a new epoch with what the replica has, as far as the record has it too. */
+  /** Starts the log of a new epoch with the part of the replica that the durable record confirms. */
   private void activate(RoleEntry entry, long epoch) {
     if (entry.active() && entry.log.epoch() == epoch) {
       return;
@@ -210,7 +213,7 @@
     entry.replica = null;
   }
 
-  /** Sees to it that the log goes to the present standby, and to no other. */
+  /** Ensures that the log is streamed to the current standby and to no other controller. */
   private void follow(RoleEntry entry) {
     boolean same = entry.stream != null && entry.stream.standby().equals(entry.standby);
     if (entry.standby == null) {
@@ -223,7 +226,7 @@
     }
   }
 
-  /** The replica of a role, made if need be. */
+  /** The replica of a role, created if there is none. */
   Replica replica(RoleEntry entry) {
     if (entry.replica == null) {
       entry.replica = new Replica(entry.role, counters, clock.now());
