--- a/src/main/java/org/baygw/control/standby/StandbyReport.java
+++ b/src/main/java/org/baygw/control/standby/StandbyReport.java
@@ -8,7 +8,7 @@
 import org.baygw.control.core.MetricsSink;
 import org.baygw.control.membership.Membership;
 
-/** What operators see of warm standby: the page of the administration API, and metrics. */
+/** Reports warm standby to operators: a page of the administration API, and metrics. */
 final class StandbyReport {
   private final Clock clock;
   private final Membership membership;
