--- a/src/main/java/org/baygw/control/standby/StandbyService.java
+++ b/src/main/java/org/baygw/control/standby/StandbyService.java
@@ -21,11 +21,12 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Warm standby, as the rest of a controller knows it: it takes the decisions of active roles, gives
- * a successor what was known before, fences orders, and hands roles over on request.
+ * Entry point of warm standby for the rest of the controller: records the decisions of active
+ * roles, provides the inherited state after a takeover, fences orders, and hands roles over on
+ * request.
  */
 public final class StandbyService implements Replication {
-  /** The path on which siblings replicate. */
+  /** The path to which other controllers post replication messages. */
   public static final String PATH = Replicator.PATH;
 
   private static final String STATUS = "/admin/v1/standby";
@@ -58,17 +59,20 @@
     this.report = new StandbyReport(clock, membership, roles, replicator, handover, fence);
   }
 
-  /** An input is about to be handled. */
+  /** Called before each input is handled. */
   public void input(long now) {
     fence.input(now);
   }
 
-  /** Whether orders to workers that were decided then are not to be sent now. */
+  /**
+   * Whether orders to workers that were decided at {@code decidedAt} must not be sent at {@code
+   * now}.
+   */
   public boolean withholds(long decidedAt, long now) {
     return fence.withholds(decidedAt, now);
   }
 
-  /** Time has passed, or something has changed. */
+  /** Called when time has passed or state has changed. */
   public void tick() {
     roles.tick();
     handover.tick();
@@ -76,17 +80,17 @@
     replicator.tick();
   }
 
-  /** Another controller's replication message. */
+  /** Handles a replication message from another controller. */
   public void receive(long request, byte[] body) {
     replicator.receive(request, body);
   }
 
-  /** The process is to end: roles go to the standbys first. */
+  /** Begins the shutdown: all roles are handed over to the standbys first. */
   public void beginToEnd() {
     handover.beginToEnd();
   }
 
-  /** Whether the process may end without anybody waiting for its lease. */
+  /** Whether the process can exit without other controllers having to wait for its lease. */
   public boolean ended() {
     return handover.ended();
   }
@@ -95,7 +99,7 @@
     report.register(sink);
   }
 
-  /** Handles an operator's request if it is one of this subsystem's. */
+  /** Handles an operator's request if it belongs to this subsystem, else returns false. */
   public boolean handle(long request, String method, String path) {
     if (path.equals(STATUS)) {
       answer(request, method.equals("GET") ? 200 : 405, report.page());
@@ -129,9 +133,12 @@
     out.answer(request, status, Json.bytes(page));
   }
 
-  /** What a handover needs of logs and streams. */
+  /** Gives a handover access to logs and streams. */
   private final class HandedOver implements Handover.Roles {
-    /** Roles that are being released: their entries forget it when the claims are gone. */
+    /**
+     * Releases to announce, by standby. Collected beforehand, since the entries drop their logs and
+     * streams once the claims are deleted.
+     */
     private final Map<String, List<RoleUpdate.Release>> releases = new HashMap<>();
 
     @Override
