--- a/src/main/java/org/baygw/control/standby/Takeover.java
+++ b/src/main/java/org/baygw/control/standby/Takeover.java
@@ -1,34 +1,39 @@
 package org.baygw.control.standby;
 
 /**
- * How far this controller is from being active for one role. What it sees of the claim decides;
- * suspicion only prepares and never moves a role by itself.
+ * State machine of this controller's takeover of one role. The role's claim decides; suspicion of
+ * the active controller only prepares a takeover and never moves a role by itself.
  */
 final class Takeover {
-  /** What this controller is for the role. */
+  /** The state of this controller for the role. */
   enum State {
-    /** Another controller is active, and a third one would succeed it. */
+    /** Another controller is active, and a third one is its successor. */
     UNINVOLVED,
-    /** It would succeed the active controller, and hears from it. */
+    /** This controller is the successor and receives updates from the active controller. */
     FOLLOWING,
-    /** It would succeed the active controller, which has been silent. */
+    /** This controller is the successor, and the active controller has been silent. */
     SUSPECTING,
-    /** Nobody holds the role and it is claiming it, or its copy has not reached its claim yet. */
+    /**
+     * Nobody holds the role and this controller is claiming it, or its state cache has not reached
+     * its claim yet.
+     */
     CONFIRMING,
-    /** It has evidence that the former active controller stopped, and gives the orders. */
+    /** This controller has evidence that the former active one stopped, and issues the orders. */
     ACTIVE,
-    /** It was active and is not any more. */
+    /** This controller was active and no longer is. */
     STEPPED_DOWN
   }
 
   /**
-   * What is known of the role now.
+   * What this controller currently knows of the role.
    *
-   * @param ownedEpoch the stamp of this controller's claim once its copy has reached it, else 0
-   * @param claimEpoch the stamp of the claim in the copy, whoever holds it; 0 where there is none
-   * @param ownClaim whether the claim in the copy is this controller's
-   * @param successor whether this controller would take the role
-   * @param silentMs for how long the active controller has not been heard
+   * @param ownedEpoch the stamp of this controller's claim once the state cache has reached it,
+   *     else 0
+   * @param claimEpoch the stamp of the claim in the state cache, whoever holds it; 0 if there is
+   *     none
+   * @param ownClaim whether the claim in the state cache is this controller's
+   * @param successor whether this controller is next to take the role
+   * @param silentMs ms since the active controller was last heard from
    */
   record Observation(
       long ownedEpoch, long claimEpoch, boolean ownClaim, boolean successor, long silentMs) {}
@@ -41,7 +46,7 @@
   private State state = State.UNINVOLVED;
   private StopEvidence evidence;
 
-  /** The highest epoch seen in which another controller, or this one earlier, was active. */
+  /** The highest known epoch in which another controller, or this one earlier, was active. */
   private long formerEpoch;
 
   Takeover(Role role, long suspectMs) {
@@ -53,12 +58,12 @@
     return state;
   }
 
-  /** Why the former active controller has stopped; null unless this controller is active. */
+  /** Evidence that the former active controller stopped; null unless this controller is active. */
   StopEvidence evidence() {
     return evidence;
   }
 
-  /** Takes what is known now; returns the change of state, or null where there is none. */
+  /** Updates the state from an observation; returns the transition, or null if there is none. */
   Transition observe(Observation seen, Replica replica) {
     State before = state;
     String reason;
@@ -91,16 +96,16 @@
   private String stepDown() {
     state = State.STEPPED_DOWN;
     evidence = null;
-    return "its claim is over";
+    return "this controller's claim ended";
   }
 
   private String follow(Observation seen) {
     if (seen.ownClaim()) {
       state = State.CONFIRMING;
-      return "its copy has not reached its claim";
+      return "the state cache has not reached this controller's claim";
     } else if (!seen.successor()) {
       state = state == State.STEPPED_DOWN ? state : State.UNINVOLVED;
-      return "another controller would succeed";
+      return "another controller is the successor";
     } else if (seen.claimEpoch() == 0) {
       state = State.CONFIRMING;
       return "nobody holds the claim";
