--- a/src/main/java/org/baygw/control/standby/TimedTasks.java
+++ b/src/main/java/org/baygw/control/standby/TimedTasks.java
@@ -5,7 +5,7 @@
 import org.pcollections.TreePVector;
 import org.roaringbitmap.RoaringBitmap;
 
-/** Tasks of one job, with a time for each. Immutable; its bitmaps are never changed. */
+/** Tasks of one job, each with a time. Immutable; the bitmaps are never modified. */
 final class TimedTasks {
   /** Tasks that share a time. */
   record Batch(RoaringBitmap tasks, long atMs) {}
@@ -18,7 +18,7 @@
     this.batches = batches;
   }
 
-  /** With these tasks at this time, whatever time they had before. */
+  /** A copy in which the given tasks have the given time, replacing any time they had before. */
   TimedTasks with(RoaringBitmap tasks, long atMs) {
     PVector<Batch> rest = without(tasks).batches;
     for (int i = 0; i < rest.size(); i++) {
