--- a/src/test/java/org/baygw/control/standby/Decisions.java
+++ b/src/test/java/org/baygw/control/standby/Decisions.java
@@ -3,7 +3,7 @@
 import java.util.Random;
 import org.roaringbitmap.RoaringBitmap;
 
-/** Random decisions for tests: all kinds, about few machines and jobs so that they meet. */
+/** Random decisions of all types for tests, on few machines and jobs so that they interact. */
 final class Decisions {
   private final Random random;
 
