--- a/src/test/java/org/baygw/control/standby/ReplicationCodecTest.java
+++ b/src/test/java/org/baygw/control/standby/ReplicationCodecTest.java
@@ -49,7 +49,7 @@
     }
   }
 
-  /** The same bytes as Avro reads them by the schema file and writes them again. */
+  /** Decodes the bytes with Avro by the schema file and encodes the result again. */
   private static byte[] throughAvro(Schema schema, byte[] bytes) throws IOException {
     GenericRecord record =
         new GenericDatumReader<GenericRecord>(schema)
