--- a/src/test/java/org/baygw/control/standby/ReplicationTest.java
+++ b/src/test/java/org/baygw/control/standby/ReplicationTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.roaringbitmap.RoaringBitmap;
 
-/** A log, its stream and a replica over a link that loses, repeats and delays messages. */
+/** Replicates a log to a standby, also over a link that loses, repeats and delays messages. */
 final class ReplicationTest {
   private static final Role ROLE = new Role("a.0");
   private static final int EVERYTHING = Integer.MAX_VALUE;
@@ -27,7 +27,7 @@
     return new Replica(ROLE, counters, 0);
   }
 
-  /** Exchanges messages over a faultless link until the standby has everything. */
+  /** Exchanges messages without faults until the standby has applied all decisions. */
   private static void catchUp(ReplicationStream stream, Replica replica) {
     for (int i = 0; i < 1_000 && !stream.upToDate(); i++) {
       stream.acknowledge(replica.receive(stream.next(400), i));
@@ -64,10 +64,10 @@
       assertTrue(log.kept() <= 64);
     }
     catchUp(stream, replica);
-    // Failures are counts, so a decision that were applied twice would show.
+    // Failures are counted, so a decision applied twice would change the state.
     assertEquals(log.state(), replica.state());
     assertEquals(log.last(), replica.applied());
-    assertTrue(counters.snapshots > 0 && counters.repeated > 0, "the link was too good");
+    assertTrue(counters.snapshots > 0 && counters.repeated > 0, "the link had too few faults");
   }
 
   @Test
@@ -143,7 +143,7 @@
     assertFalse(replica.released(0));
   }
 
-  /** Bytes and memory at the size of the largest fleets: 4,000 machines with 16 tasks each. */
+  /** Bounds bytes and memory for the largest fleets: 4,000 machines with 16 tasks each. */
   @Test
   void aLogOfFourThousandMachinesIsBounded() {
     DecisionLog log = new DecisionLog(ROLE, 5, RoleState.EMPTY, 4_096);
