--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -119,7 +119,9 @@
   /** Bytes of updates in one message to a standby; the whole message must fit a request body. */
   public static final int REPLICATION_BYTES = 40 * 1024;
 
-  /** ms within which a standby must answer a replication message, else the message counts as lost. */
+  /**
+   * ms within which a standby must answer a replication message, else the message counts as lost.
+   */
   public static final int REPLICATION_TIMEOUT_MS = 2_000;
 
   /** ms between updates of which controller is active and which is standby for each role. */
--- a/src/main/java/org/baygw/control/standby/ReplicationStream.java
+++ b/src/main/java/org/baygw/control/standby/ReplicationStream.java
@@ -21,7 +21,9 @@
   /** Since when there have been unacknowledged decisions; 0 if there are none. */
   private long laggingSince;
 
-  /** The decisions of the snapshot in progress that are not in a part yet; null if there is none. */
+  /**
+   * The decisions of the snapshot in progress that are not in a part yet; null if there is none.
+   */
   private PeekingIterator<Decision> snapshot;
 
   private long snapshotSequence = RoleAck.NEEDS_SNAPSHOT;
@@ -43,7 +45,9 @@
     return log;
   }
 
-  /** The sequence number of the last decision that the standby applied; negative before a snapshot. */
+  /**
+   * The sequence number of the last decision that the standby applied; negative before a snapshot.
+   */
   long acknowledged() {
     return acknowledged;
   }
--- a/src/main/java/org/baygw/control/standby/Replicator.java
+++ b/src/main/java/org/baygw/control/standby/Replicator.java
@@ -192,7 +192,8 @@
       message = null;
     }
     if (message == null || !links.containsKey(message.sender())) {
-      out.answer(request, 400, Json.bytes(Json.object().put("error", "not a valid replication message")));
+      out.answer(
+          request, 400, Json.bytes(Json.object().put("error", "not a valid replication message")));
       return;
     }
     bytesReceived += body.length;
--- a/src/main/java/org/baygw/control/standby/RoleTable.java
+++ b/src/main/java/org/baygw/control/standby/RoleTable.java
@@ -191,7 +191,9 @@
     }
   }
 
-  /** Starts the log of a new epoch with the part of the replica that the durable record confirms. */
+  /**
+   * Starts the log of a new epoch with the part of the replica that the durable record confirms.
+   */
   private void activate(RoleEntry entry, long epoch) {
     if (entry.active() && entry.log.epoch() == epoch) {
       return;
--- a/src/main/java/org/baygw/control/standby/StopEvidence.java
+++ b/src/main/java/org/baygw/control/standby/StopEvidence.java
@@ -32,7 +32,8 @@
 
   private static void requireNewer(long formerEpoch, long epoch) {
     if (epoch <= formerEpoch) {
-      throw new IllegalArgumentException("epoch " + epoch + " is not newer than epoch " + formerEpoch);
+      throw new IllegalArgumentException(
+          "epoch " + epoch + " is not newer than epoch " + formerEpoch);
     }
   }
 }
