--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -117,7 +117,7 @@
   public static final long HANDOVER_MOST_MS = 8_000;
 
   /** Bytes of updates in one message to a standby; the whole message must fit a request body. */
-  public static final int REPLICATION_BYTES = 40 * 1024;
+  public static final int REPLICATION_MESSAGE_BYTES = 40 * 1024;
 
   /**
    * ms within which a standby must answer a replication message, else the message counts as lost.
@@ -125,7 +125,7 @@
   public static final int REPLICATION_TIMEOUT_MS = 2_000;
 
   /** ms between updates of which controller is active and which is standby for each role. */
-  public static final long ROLE_LOOK_MS = 200;
+  public static final long ROLE_UPDATE_MS = 200;
 
   /**
    * Workers to which a new owner introduces itself in one step: each costs a request, and on a
--- a/src/main/java/org/baygw/control/Controller.java
+++ b/src/main/java/org/baygw/control/Controller.java
@@ -74,7 +74,7 @@
   /** The process is to end soon: what can be handed over in order is. */
   public void beginToEnd() {
     if (standby != null) {
-      standby.beginToEnd();
+      standby.beginShutdown();
     }
   }
 
@@ -86,7 +86,7 @@
   private void begin(long nowMs, long wallMs) {
     clock.set(nowMs, wallMs);
     if (standby != null) {
-      standby.input(nowMs);
+      standby.onInput(nowMs);
     }
   }
 
--- a/src/main/java/org/baygw/control/standby/Replicator.java
+++ b/src/main/java/org/baygw/control/standby/Replicator.java
@@ -122,7 +122,7 @@
   private void send(Link link, List<ReplicationStream> streams) {
     List<RoleUpdate> updates = new ArrayList<>(link.releases);
     boolean heartbeat = clock.now() - link.lastSent >= features.heartbeatMs();
-    int left = Constants.REPLICATION_BYTES;
+    int left = Constants.REPLICATION_MESSAGE_BYTES;
     for (ReplicationStream stream : streams) {
       if (left > 0 && (heartbeat || !stream.upToDate())) {
         RoleUpdate update = stream.next(left);
--- a/src/main/java/org/baygw/control/standby/RoleTable.java
+++ b/src/main/java/org/baygw/control/standby/RoleTable.java
@@ -114,7 +114,7 @@
     if (view.partitionsPerZone() == 0 || clock.now() < nextLook) {
       return;
     }
-    nextLook = clock.now() + Constants.ROLE_LOOK_MS;
+    nextLook = clock.now() + Constants.ROLE_UPDATE_MS;
     if (entries.isEmpty()) {
       makeEntries();
     }
--- a/src/main/java/org/baygw/control/standby/StandbyService.java
+++ b/src/main/java/org/baygw/control/standby/StandbyService.java
@@ -60,7 +60,7 @@
   }
 
   /** Called before each input is handled. */
-  public void input(long now) {
+  public void onInput(long now) {
     fence.input(now);
   }
 
@@ -86,7 +86,7 @@
   }
 
   /** Begins the shutdown: all roles are handed over to the standbys first. */
-  public void beginToEnd() {
+  public void beginShutdown() {
     handover.beginToEnd();
   }
 
