--- a/src/main/java/org/baygw/control/standby/DecisionCodec.java
+++ b/src/main/java/org/baygw/control/standby/DecisionCodec.java
@@ -27,88 +27,90 @@
   private static final int CAPACITY_REFUSED = 11;
 
   /** Upper bound of the bytes for the numbers and length prefixes of one decision. */
-  private static final int NUMBERS_BYTES = 30;
+  private static final int MAX_NUMBERS_BYTES = 30;
 
   /** Upper bound of the encoded size of a decision, in bytes. */
-  static int sizeOf(Decision decision) {
-    int names = 0;
+  static int maxSize(Decision decision) {
+    int variableBytes = 0;
     if (decision instanceof Decision.SessionKnown d) {
-      names = bytes(d.machine()) + bytes(d.address());
+      variableBytes = maxUtf8Size(d.machine()) + maxUtf8Size(d.address());
     } else if (decision instanceof Decision.TasksLaunched d) {
-      names = bytes(d.machine()) + bytes(d.job()) + d.tasks().serializedSizeInBytes();
+      variableBytes =
+          maxUtf8Size(d.machine()) + maxUtf8Size(d.job()) + d.tasks().serializedSizeInBytes();
     } else if (decision instanceof Decision.TasksEnded d) {
-      names = bytes(d.machine()) + bytes(d.job()) + d.tasks().serializedSizeInBytes();
+      variableBytes =
+          maxUtf8Size(d.machine()) + maxUtf8Size(d.job()) + d.tasks().serializedSizeInBytes();
     } else if (decision instanceof Decision.TasksFailed d) {
-      names = bytes(d.machine()) + bytes(d.job());
+      variableBytes = maxUtf8Size(d.machine()) + maxUtf8Size(d.job());
     } else if (decision instanceof Decision.TaskCompleted d) {
-      names = bytes(d.machine());
+      variableBytes = maxUtf8Size(d.machine());
     } else if (decision instanceof Decision.MachineSick d) {
-      names = bytes(d.machine());
+      variableBytes = maxUtf8Size(d.machine());
     } else if (decision instanceof Decision.MachineGone d) {
-      names = bytes(d.machine());
+      variableBytes = maxUtf8Size(d.machine());
     } else if (decision instanceof Decision.JobWaiting d) {
-      names = bytes(d.job());
+      variableBytes = maxUtf8Size(d.job());
     } else if (decision instanceof Decision.JobServed d) {
-      names = bytes(d.job());
+      variableBytes = maxUtf8Size(d.job());
     } else if (decision instanceof Decision.TasksGranted d) {
-      names = bytes(d.job()) + d.tasks().serializedSizeInBytes();
+      variableBytes = maxUtf8Size(d.job()) + d.tasks().serializedSizeInBytes();
     } else if (decision instanceof Decision.GrantsEnded d) {
-      names = bytes(d.job()) + d.tasks().serializedSizeInBytes();
+      variableBytes = maxUtf8Size(d.job()) + d.tasks().serializedSizeInBytes();
     } else if (decision instanceof Decision.CapacityRefused d) {
-      names = bytes(d.type()) + bytes(d.zone());
+      variableBytes = maxUtf8Size(d.type()) + maxUtf8Size(d.zone());
     }
-    return names + NUMBERS_BYTES;
+    return variableBytes + MAX_NUMBERS_BYTES;
   }
 
   /** Upper bound of the size of a text in UTF-8, in bytes. */
-  private static int bytes(String text) {
+  private static int maxUtf8Size(String text) {
     return 3 * text.length();
   }
 
   static void write(BinaryEncoder out, Decision decision) throws IOException {
     if (decision instanceof Decision.SessionKnown d) {
-      writeKind(out, SESSION_KNOWN, d.machine());
+      writeTypeAndName(out, SESSION_KNOWN, d.machine());
       out.writeString(d.address());
       out.writeLong(d.session());
     } else if (decision instanceof Decision.TasksLaunched d) {
-      writeKind(out, TASKS_LAUNCHED, d.machine());
+      writeTypeAndName(out, TASKS_LAUNCHED, d.machine());
       out.writeString(d.job());
       writeTasks(out, d.tasks());
       out.writeLong(d.atMs());
     } else if (decision instanceof Decision.TasksEnded d) {
-      writeKind(out, TASKS_ENDED, d.machine());
+      writeTypeAndName(out, TASKS_ENDED, d.machine());
       out.writeString(d.job());
       writeTasks(out, d.tasks());
     } else if (decision instanceof Decision.TasksFailed d) {
-      writeKind(out, TASKS_FAILED, d.machine());
+      writeTypeAndName(out, TASKS_FAILED, d.machine());
       out.writeString(d.job());
       out.writeInt(d.count());
     } else if (decision instanceof Decision.TaskCompleted d) {
-      writeKind(out, TASK_COMPLETED, d.machine());
+      writeTypeAndName(out, TASK_COMPLETED, d.machine());
     } else if (decision instanceof Decision.MachineSick d) {
-      writeKind(out, MACHINE_SICK, d.machine());
+      writeTypeAndName(out, MACHINE_SICK, d.machine());
     } else if (decision instanceof Decision.MachineGone d) {
-      writeKind(out, MACHINE_GONE, d.machine());
+      writeTypeAndName(out, MACHINE_GONE, d.machine());
     } else {
-      writeOfLeader(out, decision);
+      writeLeaderDecision(out, decision);
     }
   }
 
-  private static void writeOfLeader(BinaryEncoder out, Decision decision) throws IOException {
+  private static void writeLeaderDecision(BinaryEncoder out, Decision decision) throws IOException {
     if (decision instanceof Decision.JobWaiting d) {
-      writeKind(out, JOB_WAITING, d.job());
+      writeTypeAndName(out, JOB_WAITING, d.job());
       out.writeLong(d.sinceMs());
     } else if (decision instanceof Decision.JobServed d) {
-      writeKind(out, JOB_SERVED, d.job());
+      writeTypeAndName(out, JOB_SERVED, d.job());
     } else if (decision instanceof Decision.TasksGranted d) {
-      writeKind(out, TASKS_GRANTED, d.job());
+      writeTypeAndName(out, TASKS_GRANTED, d.job());
       writeTasks(out, d.tasks());
       out.writeLong(d.atMs());
     } else if (decision instanceof Decision.GrantsEnded d) {
-      writeKind(out, GRANTS_ENDED, d.job());
+      writeTypeAndName(out, GRANTS_ENDED, d.job());
       writeTasks(out, d.tasks());
     } else if (decision instanceof Decision.CapacityRefused d) {
-      writeKind(out, CAPACITY_REFUSED, d.type());
+      writeTypeAndName(out, CAPACITY_REFUSED, d.type());
       out.writeString(d.zone());
       out.writeBoolean(d.spot());
       out.writeLong(d.untilMs());
@@ -118,16 +120,17 @@
   }
 
   /** Writes the type and the name with which each decision begins. */
-  private static void writeKind(BinaryEncoder out, int kind, String name) throws IOException {
-    out.writeIndex(kind);
+  private static void writeTypeAndName(BinaryEncoder out, int type, String name)
+      throws IOException {
+    out.writeIndex(type);
     out.writeString(name);
   }
 
   /** Reads one decision; throws if its type is unknown. */
   static Decision read(BinaryDecoder in) throws IOException {
-    int kind = in.readIndex();
+    int type = in.readIndex();
     String name = in.readString();
-    return switch (kind) {
+    return switch (type) {
       case SESSION_KNOWN -> new Decision.SessionKnown(name, in.readString(), in.readLong());
       case TASKS_LAUNCHED ->
           new Decision.TasksLaunched(name, in.readString(), readTasks(in), in.readLong());
@@ -142,7 +145,7 @@
       case GRANTS_ENDED -> new Decision.GrantsEnded(name, readTasks(in));
       case CAPACITY_REFUSED ->
           new Decision.CapacityRefused(name, in.readString(), in.readBoolean(), in.readLong());
-      default -> throw new IOException("unknown decision type " + kind);
+      default -> throw new IOException("unknown decision type " + type);
     };
   }
 
--- a/src/main/java/org/baygw/control/standby/DecisionLog.java
+++ b/src/main/java/org/baygw/control/standby/DecisionLog.java
@@ -14,10 +14,10 @@
 final class DecisionLog {
   private final Role role;
   private final long epoch;
-  private final int bound;
+  private final int maxKept;
   private final Deque<Decision> tail = new ArrayDeque<>();
   private RoleState state;
-  private long last;
+  private long lastSequence;
 
   /**
    * Creates an empty log.
@@ -25,11 +25,11 @@
    * @param base the state inherited from the former epoch
    * @param bound how many decisions are kept for a standby that lags
    */
-  DecisionLog(Role role, long epoch, RoleState base, int bound) {
+  DecisionLog(Role role, long epoch, RoleState base, int maxKept) {
     this.role = role;
     this.epoch = epoch;
     this.state = base;
-    this.bound = bound;
+    this.maxKept = maxKept;
   }
 
   Role role() {
@@ -46,44 +46,44 @@
   }
 
   /** The sequence number of the last decision; 0 if there was none. */
-  long last() {
-    return last;
+  long lastSequence() {
+    return lastSequence;
   }
 
   /** Number of decisions in the tail. */
-  int kept() {
+  int tailSize() {
     return tail.size();
   }
 
   void append(Decision decision) {
     state = state.apply(decision);
-    last++;
+    lastSequence++;
     tail.add(decision);
-    if (tail.size() > bound) {
+    if (tail.size() > maxKept) {
       tail.remove();
     }
   }
 
   /** Whether the tail has all decisions after {@code sequence}; if not, a snapshot is needed. */
   boolean reachesBackTo(long sequence) {
-    return sequence >= last - tail.size() && sequence <= last;
+    return sequence >= lastSequence - tail.size() && sequence <= lastSequence;
   }
 
   /**
    * The decisions after a sequence number that the tail reaches back to, as many as fit into the
    * given number of bytes but at least one if there is any.
    */
-  List<Decision> after(long sequence, int bytes) {
+  List<Decision> decisionsAfter(long sequence, int maxBytes) {
     List<Decision> found = new ArrayList<>();
     Iterator<Decision> decisions = tail.iterator();
-    for (long skip = sequence - (last - tail.size()); skip > 0; skip--) {
+    for (long skip = sequence - (lastSequence - tail.size()); skip > 0; skip--) {
       decisions.next();
     }
-    int left = bytes;
-    while (decisions.hasNext() && left > 0) {
+    int remainingBytes = maxBytes;
+    while (decisions.hasNext() && remainingBytes > 0) {
       Decision decision = decisions.next();
-      left -= DecisionCodec.sizeOf(decision);
-      if (left >= 0 || found.isEmpty()) {
+      remainingBytes -= DecisionCodec.maxSize(decision);
+      if (remainingBytes >= 0 || found.isEmpty()) {
         found.add(decision);
       }
     }
--- a/src/main/java/org/baygw/control/standby/EmissionFence.java
+++ b/src/main/java/org/baygw/control/standby/EmissionFence.java
@@ -15,7 +15,7 @@
   private final LongSupplier leaseValidUntil;
   private final BooleanSupplier releasing;
   private long lastInput = Long.MIN_VALUE;
-  private long doubtUntil = Long.MIN_VALUE;
+  private long uncertainUntil = Long.MIN_VALUE;
   private long withheld;
 
   /**
@@ -30,19 +30,19 @@
   }
 
   /** Called before each input is handled; detects stalls. */
-  void input(long now) {
-    boolean stoodStill = lastInput != Long.MIN_VALUE && now - lastInput > Constants.STALL_MS;
-    if (stoodStill && now >= leaseValidUntil.getAsLong()) {
-      doubtUntil = now + Constants.STATE_TIMEOUT_MS;
+  void onInput(long now) {
+    boolean stalled = lastInput != Long.MIN_VALUE && now - lastInput > Constants.STALL_MS;
+    if (stalled && now >= leaseValidUntil.getAsLong()) {
+      uncertainUntil = now + Constants.STATE_TIMEOUT_MS;
     }
     lastInput = now;
   }
 
   /** Whether orders that were decided at {@code decidedAt} must not be sent at {@code now}. */
   boolean withholds(long decidedAt, long now) {
-    boolean leaseLives = now < leaseValidUntil.getAsLong();
-    boolean stale = now - decidedAt > Constants.STALL_MS || now < doubtUntil;
-    boolean withhold = releasing.getAsBoolean() || !leaseLives && stale;
+    boolean leaseValid = now < leaseValidUntil.getAsLong();
+    boolean stale = now - decidedAt > Constants.STALL_MS || now < uncertainUntil;
+    boolean withhold = releasing.getAsBoolean() || !leaseValid && stale;
     withheld += withhold ? 1 : 0;
     return withhold;
   }
--- a/src/main/java/org/baygw/control/standby/Handover.java
+++ b/src/main/java/org/baygw/control/standby/Handover.java
@@ -32,7 +32,7 @@
     boolean upToDate();
 
     /** Notifies the standbys that the claims have been deleted. */
-    void released();
+    void onReleased();
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(Handover.class);
@@ -43,7 +43,7 @@
   private Phase phase = Phase.NONE;
   private long flushUntil;
   private long releasingSince;
-  private boolean ending;
+  private boolean shuttingDown;
 
   Handover(Clock clock, Membership membership, Roles roles) {
     this.clock = clock;
@@ -72,8 +72,8 @@
   }
 
   /** Begins a handover after which this controller ends its membership, so the process can exit. */
-  void beginToEnd() {
-    ending = true;
+  void beginShutdown() {
+    shuttingDown = true;
     begin();
   }
 
@@ -85,8 +85,8 @@
   }
 
   /** Whether the process can exit without interrupting the handover. */
-  boolean ended() {
-    return ending && phase == Phase.RELEASED && membership.left();
+  boolean shutdownComplete() {
+    return shuttingDown && phase == Phase.RELEASED && membership.left();
   }
 
   void tick() {
@@ -105,7 +105,7 @@
         }
       }
       case RELEASED -> {
-        if (ending) {
+        if (shuttingDown) {
           membership.end();
         }
       }
@@ -118,19 +118,19 @@
   private void release() {
     enter(Phase.RELEASING);
     releasingSince = clock.now();
-    boolean begun =
+    boolean started =
         membership.release(
             ok -> {
               // Claims that are left, because of the limit for one write or after a conflict, are
               // released next. A conflict with no claim left means that an earlier attempt had
               // succeeded and its answer was lost.
-              boolean left = membership.ownsAny();
-              if (!left) {
-                roles.released();
+              boolean claimsLeft = membership.ownsAny();
+              if (!claimsLeft) {
+                roles.onReleased();
               }
-              enter(left ? Phase.FLUSHING : Phase.RELEASED);
+              enter(claimsLeft ? Phase.FLUSHING : Phase.RELEASED);
             });
-    if (!begun) {
+    if (!started) {
       enter(Phase.FLUSHING);
     }
   }
--- a/src/main/java/org/baygw/control/standby/Reconciliation.java
+++ b/src/main/java/org/baygw/control/standby/Reconciliation.java
@@ -44,7 +44,7 @@
     Reconciliation reconciliation = new Reconciliation(view);
     for (String job : state.waitingSinceMs().keySet()) {
       if (!view.active.containsKey(job)) {
-        reconciliation.correct(new Decision.JobServed(job), 1);
+        reconciliation.addCorrection(new Decision.JobServed(job), 1);
       }
     }
     state.grants().forEach(reconciliation::compareGrants);
@@ -59,14 +59,14 @@
     return new Result(next, differences);
   }
 
-  private void correct(Decision correction, int count) {
+  private void addCorrection(Decision correction, int count) {
     corrections.add(correction);
     differences += count;
   }
 
   private void compareMachine(String name, MachineState machine) {
     if (!view.machines.containsKey(name)) {
-      correct(new Decision.MachineGone(name), 1);
+      addCorrection(new Decision.MachineGone(name), 1);
       return;
     }
     Set<TaskId> recorded = view.on(name).keySet();
@@ -74,12 +74,12 @@
         .launched()
         .forEach(
             (job, tasks) -> {
-              RoaringBitmap gone = all(tasks);
+              RoaringBitmap gone = allTasks(tasks);
               recorded.stream()
                   .filter(task -> task.job().equals(job))
                   .forEach(task -> gone.remove(task.index()));
               if (!gone.isEmpty()) {
-                correct(new Decision.TasksEnded(name, job, gone), gone.getCardinality());
+                addCorrection(new Decision.TasksEnded(name, job, gone), gone.getCardinality());
               }
             });
   }
@@ -91,30 +91,30 @@
   private void countMissing(String name, MachineState machine) {
     for (TaskId task : view.on(name).keySet()) {
       TimedTasks known = machine.launched().getOrDefault(task.job(), TimedTasks.NONE);
-      differences += all(known).contains(task.index()) ? 0 : 1;
+      differences += allTasks(known).contains(task.index()) ? 0 : 1;
     }
   }
 
   private void compareGrants(String job, TimedTasks tasks) {
     RoaringBitmap gone = new RoaringBitmap();
-    for (int index : all(tasks)) {
+    for (int index : allTasks(tasks)) {
       if (view.grant(new TaskId(job, index)) == null) {
         gone.add(index);
       }
     }
     if (!gone.isEmpty()) {
-      correct(new Decision.GrantsEnded(job, gone), gone.getCardinality());
+      addCorrection(new Decision.GrantsEnded(job, gone), gone.getCardinality());
     }
   }
 
-  private static RoaringBitmap all(TimedTasks tasks) {
+  private static RoaringBitmap allTasks(TimedTasks tasks) {
     RoaringBitmap all = new RoaringBitmap();
     tasks.batches().forEach(batch -> all.or(batch.tasks()));
     return all;
   }
 
   /** Adds to {@code ages} the age of each of a job's tasks in ms, at the given wall-clock time. */
-  static void ages(String job, TimedTasks tasks, long nowMs, Map<TaskId, Long> ages) {
+  static void addAges(String job, TimedTasks tasks, long nowMs, Map<TaskId, Long> ages) {
     for (TimedTasks.Batch batch : tasks.batches()) {
       long ageMs = Math.max(0, nowMs - batch.atMs());
       for (int index : batch.tasks()) {
--- a/src/main/java/org/baygw/control/standby/Replica.java
+++ b/src/main/java/org/baygw/control/standby/Replica.java
@@ -17,28 +17,28 @@
     long outdated;
   }
 
-  private static final long NOTHING = RoleAck.NEEDS_SNAPSHOT;
+  private static final long NO_SEQUENCE = RoleAck.NEEDS_SNAPSHOT;
 
   private final Role role;
   private final Counters counters;
   private RoleState state = RoleState.EMPTY;
   private long epoch;
-  private long applied = NOTHING;
+  private long applied = NO_SEQUENCE;
 
   /** The state rebuilt so far from the snapshot that is being received. */
-  private RoleState partial = RoleState.EMPTY;
+  private RoleState partialState = RoleState.EMPTY;
 
-  private long partialSequence = NOTHING;
+  private long partialSequence = NO_SEQUENCE;
   private int nextPart;
 
   private long releasedEpoch;
   private long finalSequence;
-  private long heardAt;
+  private long lastHeardAt;
 
   Replica(Role role, Counters counters, long now) {
     this.role = role;
     this.counters = counters;
-    this.heardAt = now;
+    this.lastHeardAt = now;
   }
 
   /**
@@ -59,8 +59,8 @@
   }
 
   /** When the active controller was last heard from. */
-  long heardAt() {
-    return heardAt;
+  long lastHeardAt() {
+    return lastHeardAt;
   }
 
   /** Whether the active controller of the given epoch has announced the release of the role. */
@@ -79,14 +79,14 @@
       counters.outdated++;
       return ack();
     }
-    heardAt = now;
+    lastHeardAt = now;
     if (update.epoch() > epoch) {
-      begin(update.epoch());
+      beginEpoch(update.epoch());
     }
     if (update instanceof RoleUpdate.LogUpdate log) {
-      append(log);
+      applyLog(log);
     } else if (update instanceof RoleUpdate.SnapshotPart part) {
-      take(part);
+      applySnapshotPart(part);
     } else if (update instanceof RoleUpdate.Release release) {
       releasedEpoch = release.epoch();
       finalSequence = release.finalSequence();
@@ -95,34 +95,34 @@
   }
 
   /** Starts a new epoch; the known state is kept until the new epoch's snapshot is complete. */
-  private void begin(long newEpoch) {
+  private void beginEpoch(long newEpoch) {
     epoch = newEpoch;
-    applied = NOTHING;
-    forgetPartial();
+    applied = NO_SEQUENCE;
+    discardPartial();
   }
 
-  private void append(RoleUpdate.LogUpdate log) {
-    if (applied == NOTHING || log.first() > applied + 1) {
-      counters.gaps += applied == NOTHING ? 0 : 1;
+  private void applyLog(RoleUpdate.LogUpdate update) {
+    if (applied == NO_SEQUENCE || update.first() > applied + 1) {
+      counters.gaps += applied == NO_SEQUENCE ? 0 : 1;
       return; // the acknowledgement tells the sender what is missing
     }
-    List<Decision> decisions = log.decisions();
-    long known = Math.min(decisions.size(), applied + 1 - log.first());
-    counters.repeated += known;
-    for (Decision decision : decisions.subList((int) known, decisions.size())) {
+    List<Decision> decisions = update.decisions();
+    long alreadyApplied = Math.min(decisions.size(), applied + 1 - update.first());
+    counters.repeated += alreadyApplied;
+    for (Decision decision : decisions.subList((int) alreadyApplied, decisions.size())) {
       state = state.apply(decision);
       applied++;
       counters.applied++;
     }
   }
 
-  private void take(RoleUpdate.SnapshotPart part) {
+  private void applySnapshotPart(RoleUpdate.SnapshotPart part) {
     if (part.sequence() <= applied) {
       counters.repeated++;
       return;
     }
     if (part.part() == 0) {
-      partial = RoleState.EMPTY;
+      partialState = RoleState.EMPTY;
       partialSequence = part.sequence();
       nextPart = 0;
     }
@@ -131,20 +131,20 @@
       return;
     }
     for (Decision decision : part.decisions()) {
-      partial = partial.apply(decision);
+      partialState = partialState.apply(decision);
     }
     nextPart++;
     if (part.last()) {
-      state = partial;
+      state = partialState;
       applied = part.sequence();
       counters.snapshots++;
-      forgetPartial();
+      discardPartial();
     }
   }
 
-  private void forgetPartial() {
-    partial = RoleState.EMPTY;
-    partialSequence = NOTHING;
+  private void discardPartial() {
+    partialState = RoleState.EMPTY;
+    partialSequence = NO_SEQUENCE;
     nextPart = 0;
   }
 
--- a/src/main/java/org/baygw/control/standby/ReplicationCodec.java
+++ b/src/main/java/org/baygw/control/standby/ReplicationCodec.java
@@ -28,7 +28,7 @@
   }
 
   static byte[] encode(ReplicationMessage message) {
-    return encoded(
+    return toBytes(
         out -> {
           out.writeString(message.sender());
           out.writeArrayStart();
@@ -44,11 +44,11 @@
   /** Throws if the body is not a replication message. */
   static ReplicationMessage decode(byte[] body) throws IOException {
     BinaryDecoder in = DecoderFactory.get().binaryDecoder(body, null);
-    return new ReplicationMessage(in.readString(), list(in, ReplicationCodec::readUpdate));
+    return new ReplicationMessage(in.readString(), readList(in, ReplicationCodec::readUpdate));
   }
 
   static byte[] encode(ReplicationMessage.Answer answer) {
-    return encoded(
+    return toBytes(
         out -> {
           out.writeString(answer.sender());
           out.writeArrayStart();
@@ -69,7 +69,7 @@
     BinaryDecoder in = DecoderFactory.get().binaryDecoder(body, null);
     return new ReplicationMessage.Answer(
         in.readString(),
-        list(
+        readList(
             in,
             item ->
                 new RoleAck(
@@ -79,7 +79,7 @@
                     item.readInt())));
   }
 
-  private static byte[] encoded(Writer writer) {
+  private static byte[] toBytes(Writer writer) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     BinaryEncoder out = EncoderFactory.get().directBinaryEncoder(bytes, null);
     try {
@@ -93,23 +93,24 @@
 
   private static void write(BinaryEncoder out, RoleUpdate update) throws IOException {
     if (update instanceof RoleUpdate.LogUpdate log) {
-      writeHead(out, LOG_UPDATE, update);
+      writeHeader(out, LOG_UPDATE, update);
       out.writeLong(log.first());
       writeDecisions(out, log.decisions());
     } else if (update instanceof RoleUpdate.SnapshotPart part) {
-      writeHead(out, SNAPSHOT_PART, update);
+      writeHeader(out, SNAPSHOT_PART, update);
       out.writeLong(part.sequence());
       out.writeInt(part.part());
       out.writeBoolean(part.last());
       writeDecisions(out, part.decisions());
     } else if (update instanceof RoleUpdate.Release release) {
-      writeHead(out, RELEASE, update);
+      writeHeader(out, RELEASE, update);
       out.writeLong(release.finalSequence());
     }
   }
 
-  private static void writeHead(BinaryEncoder out, int kind, RoleUpdate update) throws IOException {
-    out.writeIndex(kind);
+  private static void writeHeader(BinaryEncoder out, int type, RoleUpdate update)
+      throws IOException {
+    out.writeIndex(type);
     out.writeString(update.role().name());
     out.writeLong(update.epoch());
   }
@@ -126,12 +127,12 @@
   }
 
   private static RoleUpdate readUpdate(BinaryDecoder in) throws IOException {
-    int kind = in.readIndex();
+    int type = in.readIndex();
     Role role = new Role(in.readString());
     long epoch = in.readLong();
-    return switch (kind) {
+    return switch (type) {
       case LOG_UPDATE ->
-          new RoleUpdate.LogUpdate(role, epoch, in.readLong(), list(in, DecisionCodec::read));
+          new RoleUpdate.LogUpdate(role, epoch, in.readLong(), readList(in, DecisionCodec::read));
       case SNAPSHOT_PART ->
           new RoleUpdate.SnapshotPart(
               role,
@@ -139,16 +140,16 @@
               in.readLong(),
               in.readInt(),
               in.readBoolean(),
-              list(in, DecisionCodec::read));
+              readList(in, DecisionCodec::read));
       case RELEASE -> new RoleUpdate.Release(role, epoch, in.readLong());
-      default -> throw new IOException("unknown update type " + kind);
+      default -> throw new IOException("unknown update type " + type);
     };
   }
 
-  private static <T> List<T> list(BinaryDecoder in, Reader<T> reader) throws IOException {
+  private static <T> List<T> readList(BinaryDecoder in, Reader<T> reader) throws IOException {
     List<T> items = new ArrayList<>();
-    for (long left = in.readArrayStart(); left > 0; left = in.arrayNext()) {
-      for (long i = 0; i < left; i++) {
+    for (long count = in.readArrayStart(); count > 0; count = in.arrayNext()) {
+      for (long i = 0; i < count; i++) {
         items.add(reader.read(in));
       }
     }
--- a/src/main/java/org/baygw/control/standby/ReplicationStream.java
+++ b/src/main/java/org/baygw/control/standby/ReplicationStream.java
@@ -16,7 +16,7 @@
   private long acknowledged = RoleAck.NEEDS_SNAPSHOT;
 
   /** The sequence number of the last decision when the latest update was built. */
-  private long lastWhenSent;
+  private long lastSequenceWhenBuilt;
 
   /** Since when there have been unacknowledged decisions; 0 if there are none. */
   private long laggingSince;
@@ -24,13 +24,13 @@
   /**
    * The decisions of the snapshot in progress that are not in a part yet; null if there is none.
    */
-  private PeekingIterator<Decision> snapshot;
+  private PeekingIterator<Decision> snapshotDecisions;
 
   private long snapshotSequence = RoleAck.NEEDS_SNAPSHOT;
-  private int parts;
+  private int partsBuilt;
 
   /** The part in flight, or null. */
-  private RoleUpdate.SnapshotPart part;
+  private RoleUpdate.SnapshotPart partInFlight;
 
   ReplicationStream(DecisionLog log, String standby) {
     this.log = log;
@@ -53,8 +53,8 @@
   }
 
   /** Number of decisions that the standby lacks. */
-  long lag() {
-    return log.last() - Math.max(0, acknowledged);
+  long lagDecisions() {
+    return log.lastSequence() - Math.max(0, acknowledged);
   }
 
   /** How long the standby has lacked decisions, in ms. */
@@ -63,7 +63,7 @@
   }
 
   boolean upToDate() {
-    return acknowledged == log.last();
+    return acknowledged == log.lastSequence();
   }
 
   /** Records the time at which the standby began to lag. */
@@ -72,37 +72,42 @@
   }
 
   /** The next update, of at most about the given number of bytes. */
-  RoleUpdate next(int bytes) {
-    lastWhenSent = log.last();
+  RoleUpdate nextUpdate(int maxBytes) {
+    lastSequenceWhenBuilt = log.lastSequence();
     if (acknowledged != RoleAck.NEEDS_SNAPSHOT && log.reachesBackTo(acknowledged)) {
       return new RoleUpdate.LogUpdate(
-          log.role(), log.epoch(), acknowledged + 1, log.after(acknowledged, bytes));
+          log.role(), log.epoch(), acknowledged + 1, log.decisionsAfter(acknowledged, maxBytes));
     }
-    if (part == null) {
-      part = nextPart(bytes);
+    if (partInFlight == null) {
+      partInFlight = nextPart(maxBytes);
     }
-    return part;
+    return partInFlight;
   }
 
-  private RoleUpdate.SnapshotPart nextPart(int bytes) {
-    if (snapshot == null) {
-      snapshot = Iterators.peekingIterator(log.state().decisions());
-      snapshotSequence = log.last();
+  private RoleUpdate.SnapshotPart nextPart(int maxBytes) {
+    if (snapshotDecisions == null) {
+      snapshotDecisions = Iterators.peekingIterator(log.state().decisions());
+      snapshotSequence = log.lastSequence();
     }
-    List<Decision> decisions = take(snapshot, bytes);
+    List<Decision> decisions = takeUpTo(snapshotDecisions, maxBytes);
     return new RoleUpdate.SnapshotPart(
-        log.role(), log.epoch(), snapshotSequence, parts++, !snapshot.hasNext(), decisions);
+        log.role(),
+        log.epoch(),
+        snapshotSequence,
+        partsBuilt++,
+        !snapshotDecisions.hasNext(),
+        decisions);
   }
 
-  private static List<Decision> take(PeekingIterator<Decision> from, int bytes) {
+  private static List<Decision> takeUpTo(PeekingIterator<Decision> source, int maxBytes) {
     List<Decision> taken = new ArrayList<>();
-    int left = bytes;
-    while (from.hasNext()) {
-      left -= DecisionCodec.sizeOf(from.peek());
-      if (left < 0 && !taken.isEmpty()) {
+    int remainingBytes = maxBytes;
+    while (source.hasNext()) {
+      remainingBytes -= DecisionCodec.maxSize(source.peek());
+      if (remainingBytes < 0 && !taken.isEmpty()) {
         break;
       }
-      taken.add(from.next());
+      taken.add(source.next());
     }
     return taken;
   }
@@ -118,28 +123,29 @@
       return false;
     }
     boolean progress =
-        ack.applied() > acknowledged || part != null && ack.partsReceived() > part.part();
-    acknowledged = Math.min(ack.applied(), log.last());
+        ack.applied() > acknowledged
+            || partInFlight != null && ack.partsReceived() > partInFlight.part();
+    acknowledged = Math.min(ack.applied(), log.lastSequence());
     if (acknowledged != RoleAck.NEEDS_SNAPSHOT && acknowledged >= snapshotSequence) {
       endSnapshot();
-    } else if (part != null) {
+    } else if (partInFlight != null) {
       continueSnapshot(ack.partsReceived());
     }
-    return progress && acknowledged < lastWhenSent;
+    return progress && acknowledged < lastSequenceWhenBuilt;
   }
 
   private void continueSnapshot(int received) {
-    if (received == part.part() + 1) {
-      part = null; // the next part is built when it is sent
-    } else if (received != part.part()) {
+    if (received == partInFlight.part() + 1) {
+      partInFlight = null; // the next part is built when it is sent
+    } else if (received != partInFlight.part()) {
       endSnapshot(); // the standby started over
     }
   }
 
   private void endSnapshot() {
-    snapshot = null;
-    part = null;
-    parts = 0;
+    snapshotDecisions = null;
+    partInFlight = null;
+    partsBuilt = 0;
     snapshotSequence = RoleAck.NEEDS_SNAPSHOT;
   }
 }
--- a/src/main/java/org/baygw/control/standby/Replicator.java
+++ b/src/main/java/org/baygw/control/standby/Replicator.java
@@ -28,7 +28,7 @@
     private long lastSent = Long.MIN_VALUE / 2;
 
     /** Whether decisions that did not fit into the latest message are to be sent at once. */
-    private boolean more;
+    private boolean sendMoreAtOnce;
 
     private final List<RoleUpdate.Release> releases = new ArrayList<>();
 
@@ -79,12 +79,12 @@
   }
 
   /** Sets whether pending decisions are sent without waiting for the batch interval. */
-  void flushing(boolean now) {
-    flushing = now;
+  void setFlushing(boolean enabled) {
+    flushing = enabled;
   }
 
   /** Queues the release of a role by this controller for sending to the standby. */
-  void release(String standby, RoleUpdate.Release release) {
+  void queueRelease(String standby, RoleUpdate.Release release) {
     Link link = links.get(standby);
     if (link != null) {
       link.releases.add(release);
@@ -99,9 +99,9 @@
       }
     }
     for (Link link : links.values()) {
-      List<ReplicationStream> toIt = streams.getOrDefault(link.peer.label(), List.of());
-      if (!link.sending && due(link, toIt)) {
-        send(link, toIt);
+      List<ReplicationStream> linkStreams = streams.getOrDefault(link.peer.label(), List.of());
+      if (!link.sending && due(link, linkStreams)) {
+        send(link, linkStreams);
       }
     }
   }
@@ -113,28 +113,28 @@
     if (streams.isEmpty()) {
       return false;
     }
-    long since = clock.now() - link.lastSent;
-    boolean lacking = streams.stream().anyMatch(stream -> !stream.upToDate());
-    return since >= features.heartbeatMs()
-        || lacking && (since >= features.batchMs() || link.more || flushing);
+    long sinceSentMs = clock.now() - link.lastSent;
+    boolean behind = streams.stream().anyMatch(stream -> !stream.upToDate());
+    return sinceSentMs >= features.heartbeatMs()
+        || behind && (sinceSentMs >= features.batchMs() || link.sendMoreAtOnce || flushing);
   }
 
   private void send(Link link, List<ReplicationStream> streams) {
     List<RoleUpdate> updates = new ArrayList<>(link.releases);
     boolean heartbeat = clock.now() - link.lastSent >= features.heartbeatMs();
-    int left = Constants.REPLICATION_MESSAGE_BYTES;
+    int remainingBytes = Constants.REPLICATION_MESSAGE_BYTES;
     for (ReplicationStream stream : streams) {
-      if (left > 0 && (heartbeat || !stream.upToDate())) {
-        RoleUpdate update = stream.next(left);
+      if (remainingBytes > 0 && (heartbeat || !stream.upToDate())) {
+        RoleUpdate update = stream.nextUpdate(remainingBytes);
         updates.add(update);
-        left -= sizeOf(update);
+        remainingBytes -= maxSize(update);
       }
     }
     byte[] body =
         ReplicationCodec.encode(new ReplicationMessage(settings.label(), List.copyOf(updates)));
     bytesSent += body.length;
     link.sending = true;
-    link.more = false;
+    link.sendMoreAtOnce = false;
     link.lastSent = clock.now();
     List<RoleUpdate.Release> releases = List.copyOf(link.releases);
     out.call(
@@ -143,19 +143,19 @@
         PATH,
         body,
         Constants.REPLICATION_TIMEOUT_MS,
-        (status, answer) -> answered(link, releases, status, answer));
+        (status, answer) -> onAnswer(link, releases, status, answer));
   }
 
-  private static int sizeOf(RoleUpdate update) {
+  private static int maxSize(RoleUpdate update) {
     if (update instanceof RoleUpdate.LogUpdate log) {
-      return log.decisions().stream().mapToInt(DecisionCodec::sizeOf).sum();
+      return log.decisions().stream().mapToInt(DecisionCodec::maxSize).sum();
     } else if (update instanceof RoleUpdate.SnapshotPart part) {
-      return part.decisions().stream().mapToInt(DecisionCodec::sizeOf).sum();
+      return part.decisions().stream().mapToInt(DecisionCodec::maxSize).sum();
     }
     return 0;
   }
 
-  private void answered(Link link, List<RoleUpdate.Release> releases, int status, byte[] body) {
+  private void onAnswer(Link link, List<RoleUpdate.Release> releases, int status, byte[] body) {
     link.sending = false;
     // A release is a hint that is sent once; the end of the claim in the state service decides.
     link.releases.removeAll(releases);
@@ -179,7 +179,7 @@
     ReplicationStream stream = entry == null ? null : entry.stream;
     if (stream != null && stream.standby().equals(link.peer.label())) {
       // Only decisions that did not fit into the message are sent at once; new ones are batched.
-      link.more |= stream.acknowledge(ack);
+      link.sendMoreAtOnce |= stream.acknowledge(ack);
     }
   }
 
--- a/src/main/java/org/baygw/control/standby/RoleState.java
+++ b/src/main/java/org/baygw/control/standby/RoleState.java
@@ -21,10 +21,10 @@
     HashPMap<String, MachineState> machines,
     HashPMap<String, Long> waitingSinceMs,
     HashPMap<String, TimedTasks> grants,
-    HashPMap<RoleState.Kind, Long> refusedUntilMs) {
+    HashPMap<RoleState.MachineKind, Long> refusedUntilMs) {
 
   /** A kind of machine that the cloud offers. */
-  record Kind(String type, String zone, boolean spot) {}
+  record MachineKind(String type, String zone, boolean spot) {}
 
   static final RoleState EMPTY =
       new RoleState(
@@ -33,17 +33,17 @@
   /** The state after one more decision. */
   RoleState apply(Decision decision) {
     if (decision instanceof Decision.SessionKnown d) {
-      return with(d.machine(), machine(d.machine()).withSession(d.address(), d.session()));
+      return withMachine(d.machine(), machine(d.machine()).withSession(d.address(), d.session()));
     } else if (decision instanceof Decision.TasksLaunched d) {
-      return with(d.machine(), machine(d.machine()).launched(d.job(), d.tasks(), d.atMs()));
+      return withMachine(d.machine(), machine(d.machine()).launched(d.job(), d.tasks(), d.atMs()));
     } else if (decision instanceof Decision.TasksEnded d) {
-      return with(d.machine(), machine(d.machine()).ended(d.job(), d.tasks()));
+      return withMachine(d.machine(), machine(d.machine()).ended(d.job(), d.tasks()));
     } else if (decision instanceof Decision.TasksFailed d) {
-      return with(d.machine(), machine(d.machine()).failed(d.job(), d.count()));
+      return withMachine(d.machine(), machine(d.machine()).failed(d.job(), d.count()));
     } else if (decision instanceof Decision.TaskCompleted d) {
-      return with(d.machine(), machine(d.machine()).completed());
+      return withMachine(d.machine(), machine(d.machine()).completed());
     } else if (decision instanceof Decision.MachineSick d) {
-      return with(d.machine(), machine(d.machine()).withSick());
+      return withMachine(d.machine(), machine(d.machine()).withSick());
     } else if (decision instanceof Decision.MachineGone d) {
       return withMachines(machines.minus(d.machine()));
     } else if (decision instanceof Decision.JobWaiting d) {
@@ -57,7 +57,7 @@
       TimedTasks left = grants.getOrDefault(d.job(), TimedTasks.NONE).without(d.tasks());
       return withGrants(left.isEmpty() ? grants.minus(d.job()) : grants.plus(d.job(), left));
     } else if (decision instanceof Decision.CapacityRefused d) {
-      Kind kind = new Kind(d.type(), d.zone(), d.spot());
+      MachineKind kind = new MachineKind(d.type(), d.zone(), d.spot());
       return new RoleState(
           machines, waitingSinceMs, grants, refusedUntilMs.plus(kind, d.untilMs()));
     }
@@ -66,20 +66,22 @@
 
   /** This state without the capacity refusals that have expired at the given wall-clock time. */
   RoleState withoutExpired(long nowMs) {
-    HashPMap<Kind, Long> left = refusedUntilMs;
-    for (Map.Entry<Kind, Long> refused : refusedUntilMs.entrySet()) {
-      left = refused.getValue() <= nowMs ? left.minus(refused.getKey()) : left;
+    HashPMap<MachineKind, Long> remaining = refusedUntilMs;
+    for (Map.Entry<MachineKind, Long> refused : refusedUntilMs.entrySet()) {
+      remaining = refused.getValue() <= nowMs ? remaining.minus(refused.getKey()) : remaining;
     }
-    return left == refusedUntilMs ? this : new RoleState(machines, waitingSinceMs, grants, left);
+    return remaining == refusedUntilMs
+        ? this
+        : new RoleState(machines, waitingSinceMs, grants, remaining);
   }
 
   private MachineState machine(String name) {
     return machines.getOrDefault(name, MachineState.UNKNOWN);
   }
 
-  private RoleState with(String machine, MachineState state) {
-    boolean same = state == MachineState.UNKNOWN || state == machines.get(machine);
-    return same ? this : withMachines(machines.plus(machine, state));
+  private RoleState withMachine(String machine, MachineState state) {
+    boolean unchanged = state == MachineState.UNKNOWN || state == machines.get(machine);
+    return unchanged ? this : withMachines(machines.plus(machine, state));
   }
 
   private RoleState withMachines(HashPMap<String, MachineState> next) {
@@ -96,15 +98,15 @@
 
   /** The decisions that rebuild this state from the empty one, generated lazily. */
   Iterator<Decision> decisions() {
-    Iterator<Iterator<? extends Decision>> ofMachines =
+    Iterator<Iterator<? extends Decision>> machineDecisions =
         Iterators.transform(
             machines.entrySet().iterator(),
             entry -> entry.getValue().decisions(entry.getKey()).iterator());
-    Iterator<Decision> waiting =
+    Iterator<Decision> waitingDecisions =
         Iterators.transform(
             waitingSinceMs.entrySet().iterator(),
             entry -> new Decision.JobWaiting(entry.getKey(), entry.getValue()));
-    Iterator<Iterator<? extends Decision>> ofGrants =
+    Iterator<Iterator<? extends Decision>> grantDecisions =
         Iterators.transform(
             grants.entrySet().iterator(),
             entry ->
@@ -112,15 +114,18 @@
                     entry.getValue().batches().iterator(),
                     batch ->
                         new Decision.TasksGranted(entry.getKey(), batch.tasks(), batch.atMs())));
-    Iterator<Decision> refused =
+    Iterator<Decision> refusedDecisions =
         Iterators.transform(
             refusedUntilMs.entrySet().iterator(),
             entry -> {
-              Kind kind = entry.getKey();
+              MachineKind kind = entry.getKey();
               return new Decision.CapacityRefused(
                   kind.type(), kind.zone(), kind.spot(), entry.getValue());
             });
     return Iterators.concat(
-        Iterators.concat(ofMachines), waiting, Iterators.concat(ofGrants), refused);
+        Iterators.concat(machineDecisions),
+        waitingDecisions,
+        Iterators.concat(grantDecisions),
+        refusedDecisions);
   }
 }
--- a/src/main/java/org/baygw/control/standby/RoleTable.java
+++ b/src/main/java/org/baygw/control/standby/RoleTable.java
@@ -26,7 +26,7 @@
    * Multiple of the suspicion timeout for which the replica of a silent active controller is kept
    * once this controller is no longer the successor.
    */
-  private static final int KEPT_SUSPECT_PERIODS = 4;
+  private static final int RETENTION_SUSPECT_PERIODS = 4;
 
   private final Clock clock;
   private final Settings settings;
@@ -36,7 +36,7 @@
   private final Replica.Counters counters = new Replica.Counters();
   private final Map<Role, RoleEntry> entries = new TreeMap<>();
   private final Map<Partition, RoleEntry> byPartition = new HashMap<>();
-  private long nextLook;
+  private long nextUpdate;
 
   /** The state cache's count of claim and member changes when standbys were last chosen. */
   private long ownershipChanges = -1;
@@ -105,21 +105,21 @@
       return null;
     }
     if (!entry.active() || entry.log.epoch() != epoch) {
-      look(entry); // this controller has just acquired the role
+      updateEntry(entry); // this controller has just acquired the role
     }
     return entry.log;
   }
 
   void tick() {
-    if (view.partitionsPerZone() == 0 || clock.now() < nextLook) {
+    if (view.partitionsPerZone() == 0 || clock.now() < nextUpdate) {
       return;
     }
-    nextLook = clock.now() + Constants.ROLE_UPDATE_MS;
+    nextUpdate = clock.now() + Constants.ROLE_UPDATE_MS;
     if (entries.isEmpty()) {
       makeEntries();
     }
     chooseStandbys();
-    entries.values().forEach(this::look);
+    entries.values().forEach(this::updateEntry);
   }
 
   /** Creates the entries once: the number of partitions is durable and never changes. */
@@ -145,11 +145,11 @@
     }
   }
 
-  private void look(RoleEntry entry) {
+  private void updateEntry(RoleEntry entry) {
     String role = entry.role.name();
     StateCache.Entry<StateCache.Claim> claim = membership.claim(role);
     long epoch = membership.owned(role);
-    Takeover.Transition change =
+    Takeover.Transition transition =
         entry.takeover.observe(
             new Takeover.Observation(
                 epoch,
@@ -164,29 +164,30 @@
       dropOutdated(entry);
     } else {
       activate(entry, epoch);
-      follow(entry);
+      updateStream(entry);
     }
-    if (change != null) {
-      tell(entry, change);
+    if (transition != null) {
+      logTransition(entry, transition);
     }
   }
 
-  private void tell(RoleEntry entry, Takeover.Transition change) {
-    String text = "role {}: {} after {}: {}";
-    if (change.to() == Takeover.State.FOLLOWING || change.to() == Takeover.State.UNINVOLVED) {
-      LOG.debug(text, entry.role, change.to(), change.from(), change.reason());
+  private void logTransition(RoleEntry entry, Takeover.Transition transition) {
+    String format = "role {}: {} after {}: {}";
+    if (transition.to() == Takeover.State.FOLLOWING
+        || transition.to() == Takeover.State.UNINVOLVED) {
+      LOG.debug(format, entry.role, transition.to(), transition.from(), transition.reason());
     } else {
-      LOG.info(text, entry.role, change.to(), change.from(), change.reason());
+      LOG.info(format, entry.role, transition.to(), transition.from(), transition.reason());
     }
   }
 
   private long silentMs(RoleEntry entry) {
-    return entry.replica == null ? 0 : clock.now() - entry.replica.heardAt();
+    return entry.replica == null ? 0 : clock.now() - entry.replica.lastHeardAt();
   }
 
   private void dropOutdated(RoleEntry entry) {
     boolean successor = settings.label().equals(entry.standby);
-    if (!successor && silentMs(entry) > KEPT_SUSPECT_PERIODS * features.suspectMs()) {
+    if (!successor && silentMs(entry) > RETENTION_SUSPECT_PERIODS * features.suspectMs()) {
       entry.replica = null;
     }
   }
@@ -216,11 +217,11 @@
   }
 
   /** Ensures that the log is streamed to the current standby and to no other controller. */
-  private void follow(RoleEntry entry) {
-    boolean same = entry.stream != null && entry.stream.standby().equals(entry.standby);
+  private void updateStream(RoleEntry entry) {
+    boolean sameStandby = entry.stream != null && entry.stream.standby().equals(entry.standby);
     if (entry.standby == null) {
       entry.stream = null;
-    } else if (!same || entry.stream.log() != entry.log) {
+    } else if (!sameStandby || entry.stream.log() != entry.log) {
       entry.stream = new ReplicationStream(entry.log, entry.standby);
     }
     if (entry.stream != null) {
--- a/src/main/java/org/baygw/control/standby/StandbyReport.java
+++ b/src/main/java/org/baygw/control/standby/StandbyReport.java
@@ -59,26 +59,31 @@
     node.put("epoch", claim == null ? 0 : claim.stamp());
     node.put("standby", entry.standby);
     if (entry.active()) {
-      node.put("decisions", entry.log.last());
+      node.put("decisions", entry.log.lastSequence());
       node.put("evidence", String.valueOf(entry.takeover.evidence()));
     }
     if (entry.stream != null) {
       node.put("acknowledged", entry.stream.acknowledged());
-      node.put("lag_decisions", entry.stream.lag());
+      node.put("lag_decisions", entry.stream.lagDecisions());
       node.put("lag_ms", entry.stream.lagMs(clock.now()));
     }
     if (entry.replica != null) {
       node.put("applied", entry.replica.applied());
       node.put("applied_epoch", entry.replica.epoch());
-      node.put("silent_ms", clock.now() - entry.replica.heardAt());
+      node.put("silent_ms", clock.now() - entry.replica.lastHeardAt());
     }
   }
 
   void register(MetricsSink sink) {
     Replica.Counters counters = roles.counters();
-    sink.gauge("baygw.standby.active", "Roles that this controller is active for", this::active);
-    sink.gauge("baygw.standby.lag.decisions", "Most decisions that a standby lacks", this::lag);
-    sink.gauge("baygw.standby.lag.ms", "Longest time for which a standby lacks some", this::lagMs);
+    sink.gauge(
+        "baygw.standby.active", "Roles that this controller is active for", this::activeRoles);
+    sink.gauge(
+        "baygw.standby.lag.decisions",
+        "Most decisions that a standby lacks",
+        this::maxLagDecisions);
+    sink.gauge(
+        "baygw.standby.lag.ms", "Longest time for which a standby lacks some", this::maxLagMs);
     sink.counter("baygw.standby.takeovers", "Roles taken over", roles::takeovers);
     sink.counter("baygw.standby.differences", "Replica against record", roles::differences);
     sink.counter("baygw.standby.withheld", "Batches of orders withheld", fence::withheld);
@@ -89,19 +94,19 @@
     sink.counter("baygw.standby.snapshots", "Snapshots taken in", () -> counters.snapshots);
   }
 
-  private double active() {
+  private double activeRoles() {
     return roles.entries().stream().filter(RoleEntry::active).count();
   }
 
-  private double lag() {
+  private double maxLagDecisions() {
     return roles.entries().stream()
         .filter(entry -> entry.stream != null)
-        .mapToLong(entry -> entry.stream.lag())
+        .mapToLong(entry -> entry.stream.lagDecisions())
         .max()
         .orElse(0);
   }
 
-  private double lagMs() {
+  private double maxLagMs() {
     return roles.entries().stream()
         .filter(entry -> entry.stream != null)
         .mapToLong(entry -> entry.stream.lagMs(clock.now()))
--- a/src/main/java/org/baygw/control/standby/StandbyService.java
+++ b/src/main/java/org/baygw/control/standby/StandbyService.java
@@ -29,8 +29,8 @@
   /** The path to which other controllers post replication messages. */
   public static final String PATH = Replicator.PATH;
 
-  private static final String STATUS = "/admin/v1/standby";
-  private static final String HANDOVER = "/admin/v1/handover";
+  private static final String STATUS_PATH = "/admin/v1/standby";
+  private static final String HANDOVER_PATH = "/admin/v1/handover";
 
   private final Clock clock;
   private final Outbox out;
@@ -54,14 +54,14 @@
     this.membership = membership;
     this.roles = new RoleTable(clock, settings, features, membership, view);
     this.replicator = new Replicator(clock, out, settings, features, store, roles);
-    this.handover = new Handover(clock, membership, new HandedOver());
+    this.handover = new Handover(clock, membership, new HandoverRoles());
     this.fence = new EmissionFence(membership::leaseValidUntil, handover::releasing);
     this.report = new StandbyReport(clock, membership, roles, replicator, handover, fence);
   }
 
   /** Called before each input is handled. */
   public void onInput(long now) {
-    fence.input(now);
+    fence.onInput(now);
   }
 
   /**
@@ -76,7 +76,7 @@
   public void tick() {
     roles.tick();
     handover.tick();
-    replicator.flushing(handover.phase() == Handover.Phase.FLUSHING);
+    replicator.setFlushing(handover.phase() == Handover.Phase.FLUSHING);
     replicator.tick();
   }
 
@@ -87,12 +87,12 @@
 
   /** Begins the shutdown: all roles are handed over to the standbys first. */
   public void beginShutdown() {
-    handover.beginToEnd();
+    handover.beginShutdown();
   }
 
   /** Whether the process can exit without other controllers having to wait for its lease. */
   public boolean ended() {
-    return handover.ended();
+    return handover.shutdownComplete();
   }
 
   public void register(MetricsSink sink) {
@@ -101,11 +101,11 @@
 
   /** Handles an operator's request if it belongs to this subsystem, else returns false. */
   public boolean handle(long request, String method, String path) {
-    if (path.equals(STATUS)) {
+    if (path.equals(STATUS_PATH)) {
       answer(request, method.equals("GET") ? 200 : 405, report.page());
       return true;
     }
-    if (!path.equals(HANDOVER)) {
+    if (!path.equals(HANDOVER_PATH)) {
       return false;
     }
     switch (method) {
@@ -134,7 +134,7 @@
   }
 
   /** Gives a handover access to logs and streams. */
-  private final class HandedOver implements Handover.Roles {
+  private final class HandoverRoles implements Handover.Roles {
     /**
      * Releases to announce, by standby. Collected beforehand, since the entries drop their logs and
      * streams once the claims are deleted.
@@ -144,21 +144,21 @@
     @Override
     public boolean upToDate() {
       releases.clear();
-      boolean all = true;
+      boolean allUpToDate = true;
       for (RoleEntry entry : roles.entries()) {
         if (entry.stream != null) {
-          all &= entry.stream.upToDate();
+          allUpToDate &= entry.stream.upToDate();
           releases
               .computeIfAbsent(entry.stream.standby(), k -> new ArrayList<>())
-              .add(new RoleUpdate.Release(entry.role, entry.log.epoch(), entry.log.last()));
+              .add(new RoleUpdate.Release(entry.role, entry.log.epoch(), entry.log.lastSequence()));
         }
       }
-      return all;
+      return allUpToDate;
     }
 
     @Override
-    public void released() {
-      releases.forEach((standby, list) -> list.forEach(r -> replicator.release(standby, r)));
+    public void onReleased() {
+      releases.forEach((standby, list) -> list.forEach(r -> replicator.queueRelease(standby, r)));
       releases.clear();
     }
   }
@@ -253,7 +253,9 @@
       return null;
     }
     Map<TaskId, Long> ages = new HashMap<>();
-    known.launched().forEach((job, tasks) -> Reconciliation.ages(job, tasks, clock.wall(), ages));
+    known
+        .launched()
+        .forEach((job, tasks) -> Reconciliation.addAges(job, tasks, clock.wall(), ages));
     return new InheritedWorker(
         known.address(), known.session(), ages, Map.copyOf(known.failures()), known.sick());
   }
@@ -269,7 +271,7 @@
     Map<String, Long> waiting = new HashMap<>();
     state.waitingSinceMs().forEach((job, since) -> waiting.put(job, Math.max(0, now - since)));
     Map<TaskId, Long> granted = new HashMap<>();
-    state.grants().forEach((job, tasks) -> Reconciliation.ages(job, tasks, now, granted));
+    state.grants().forEach((job, tasks) -> Reconciliation.addAges(job, tasks, now, granted));
     List<RefusedCapacity> refused = new ArrayList<>();
     state
         .refusedUntilMs()
--- a/src/main/java/org/baygw/control/standby/Takeover.java
+++ b/src/main/java/org/baygw/control/standby/Takeover.java
@@ -64,20 +64,20 @@
   }
 
   /** Updates the state from an observation; returns the transition, or null if there is none. */
-  Transition observe(Observation seen, Replica replica) {
-    State before = state;
+  Transition observe(Observation observation, Replica replica) {
+    State previous = state;
     String reason;
-    if (seen.ownedEpoch() != 0) {
-      reason = activate(seen.ownedEpoch(), replica);
-    } else if (before == State.ACTIVE) {
+    if (observation.ownedEpoch() != 0) {
+      reason = activate(observation.ownedEpoch(), replica);
+    } else if (previous == State.ACTIVE) {
       reason = stepDown();
     } else {
-      reason = follow(seen);
+      reason = updateInactive(observation);
     }
-    if (!seen.ownClaim()) {
-      formerEpoch = Math.max(formerEpoch, seen.claimEpoch());
+    if (!observation.ownClaim()) {
+      formerEpoch = Math.max(formerEpoch, observation.claimEpoch());
     }
-    return state == before ? null : new Transition(before, state, reason);
+    return state == previous ? null : new Transition(previous, state, reason);
   }
 
   private String activate(long epoch, Replica replica) {
@@ -99,21 +99,21 @@
     return "this controller's claim ended";
   }
 
-  private String follow(Observation seen) {
-    if (seen.ownClaim()) {
+  private String updateInactive(Observation observation) {
+    if (observation.ownClaim()) {
       state = State.CONFIRMING;
       return "the state cache has not reached this controller's claim";
-    } else if (!seen.successor()) {
+    } else if (!observation.successor()) {
       state = state == State.STEPPED_DOWN ? state : State.UNINVOLVED;
       return "another controller is the successor";
-    } else if (seen.claimEpoch() == 0) {
+    } else if (observation.claimEpoch() == 0) {
       state = State.CONFIRMING;
       return "nobody holds the claim";
-    } else if (seen.silentMs() > suspectMs) {
+    } else if (observation.silentMs() > suspectMs) {
       state = State.SUSPECTING;
-      return "nothing was heard for " + seen.silentMs() + " ms";
+      return "nothing was heard for " + observation.silentMs() + " ms";
     }
     state = State.FOLLOWING;
-    return "the active controller holds epoch " + seen.claimEpoch();
+    return "the active controller holds epoch " + observation.claimEpoch();
   }
 }
--- a/src/test/java/org/baygw/control/standby/EmissionFenceTest.java
+++ b/src/test/java/org/baygw/control/standby/EmissionFenceTest.java
@@ -13,7 +13,7 @@
 
   @Test
   void anOldDecisionIsWithheldOnceTheLeaseMayBeOver() {
-    fence.input(1_000);
+    fence.onInput(1_000);
     assertFalse(fence.withholds(1_000, 4_999));
     assertTrue(fence.withholds(1_000, 5_000));
     assertEquals(1, fence.withheld());
@@ -22,15 +22,15 @@
   @Test
   void withoutAStopAnOutageWithholdsNothing() {
     for (long now = 0; now < 60_000; now += 50) {
-      fence.input(now);
+      fence.onInput(now);
       assertFalse(fence.withholds(now, now + 1), "at " + now);
     }
   }
 
   @Test
   void afterAStopNothingIsSentUntilTheLeaseIsKnownToLive() {
-    fence.input(1_000);
-    fence.input(9_000);
+    fence.onInput(1_000);
+    fence.onInput(9_000);
     assertTrue(fence.withholds(9_000, 9_000));
     assertTrue(fence.withholds(9_400, 9_400));
     leaseUntil = 14_000;
@@ -39,19 +39,19 @@
 
   @Test
   void whereTheStateServiceDoesNotAnswerItGoesOnAfterAWhile() {
-    fence.input(1_000);
-    fence.input(9_000);
+    fence.onInput(1_000);
+    fence.onInput(9_000);
     for (long now = 9_000; now < 10_500; now += 50) {
-      fence.input(now);
+      fence.onInput(now);
       assertTrue(fence.withholds(now, now), "at " + now);
     }
-    fence.input(10_500);
+    fence.onInput(10_500);
     assertFalse(fence.withholds(10_500, 10_500));
   }
 
   @Test
   void whileRolesAreReleasedAllIsWithheld() {
-    fence.input(1_000);
+    fence.onInput(1_000);
     releasing = true;
     assertTrue(fence.withholds(1_000, 1_000));
   }
--- a/src/test/java/org/baygw/control/standby/ReplicationCodecTest.java
+++ b/src/test/java/org/baygw/control/standby/ReplicationCodecTest.java
@@ -94,7 +94,7 @@
       int bytes =
           ReplicationCodec.encode(new ReplicationMessage("a", List.of(with))).length
               - ReplicationCodec.encode(new ReplicationMessage("a", List.of(without))).length;
-      assertTrue(bytes <= DecisionCodec.sizeOf(decision), decision + " takes " + bytes);
+      assertTrue(bytes <= DecisionCodec.maxSize(decision), decision + " takes " + bytes);
     }
   }
 }
--- a/src/test/java/org/baygw/control/standby/ReplicationTest.java
+++ b/src/test/java/org/baygw/control/standby/ReplicationTest.java
@@ -30,7 +30,7 @@
   /** Exchanges messages without faults until the standby has applied all decisions. */
   private static void catchUp(ReplicationStream stream, Replica replica) {
     for (int i = 0; i < 1_000 && !stream.upToDate(); i++) {
-      stream.acknowledge(replica.receive(stream.next(400), i));
+      stream.acknowledge(replica.receive(stream.nextUpdate(400), i));
     }
     assertTrue(stream.upToDate());
   }
@@ -48,7 +48,7 @@
       for (int i = random.nextInt(12); i > 0; i--) {
         log.append(decisions.next());
       }
-      RoleUpdate update = stream.next(100 + random.nextInt(2_000));
+      RoleUpdate update = stream.nextUpdate(100 + random.nextInt(2_000));
       if (random.nextInt(4) == 0) {
         late.add(update);
       }
@@ -61,12 +61,12 @@
       if (!late.isEmpty() && random.nextInt(3) == 0) {
         replica.receive(late.remove(random.nextInt(late.size())), step);
       }
-      assertTrue(log.kept() <= 64);
+      assertTrue(log.tailSize() <= 64);
     }
     catchUp(stream, replica);
     // Failures are counted, so a decision applied twice would change the state.
     assertEquals(log.state(), replica.state());
-    assertEquals(log.last(), replica.applied());
+    assertEquals(log.lastSequence(), replica.applied());
     assertTrue(counters.snapshots > 0 && counters.repeated > 0, "the link had too few faults");
   }
 
@@ -74,7 +74,7 @@
   void whatIsOfAnOlderEpochIsDropped() {
     DecisionLog old = log(5, RoleState.EMPTY);
     old.append(new Decision.MachineSick("n-1"));
-    RoleUpdate late = new ReplicationStream(old, "yurt-1").next(EVERYTHING);
+    RoleUpdate late = new ReplicationStream(old, "yurt-1").nextUpdate(EVERYTHING);
     Replica replica = replica();
     ReplicationStream stream = new ReplicationStream(log(9, RoleState.EMPTY), "yurt-1");
     catchUp(stream, replica);
@@ -121,7 +121,7 @@
     ReplicationStream stream = new ReplicationStream(log, "yurt-1");
     Replica before = replica();
     for (int i = 0; i < 3; i++) {
-      stream.acknowledge(before.receive(stream.next(300), i));
+      stream.acknowledge(before.receive(stream.nextUpdate(300), i));
     }
     assertFalse(stream.upToDate());
     Replica after = replica();
@@ -154,13 +154,13 @@
       tasks.add(16L * machine, 16L * (machine + 1));
       log.append(new Decision.TasksLaunched(name, "run-000001", tasks, machine));
     }
-    assertEquals(4_096, log.kept());
+    assertEquals(4_096, log.tailSize());
     ReplicationStream stream = new ReplicationStream(log, "yurt-1");
     Replica replica = replica();
     long bytes = 0;
     int messages = 0;
     while (!stream.upToDate()) {
-      RoleUpdate update = stream.next(40 * 1024);
+      RoleUpdate update = stream.nextUpdate(40 * 1024);
       byte[] body = ReplicationCodec.encode(new ReplicationMessage("yurt-0", List.of(update)));
       assertTrue(body.length <= 64 * 1024, "a message of " + body.length + " bytes");
       bytes += body.length;
