--- a/src/test/java/org/baygw/control/standby/EmissionFenceTest.java
+++ b/src/test/java/org/baygw/control/standby/EmissionFenceTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 final class EmissionFenceTest {
-  private long leaseUntil = 5_000;
+  private long leaseValidUntil = 5_000;
   private boolean releasing;
-  private final EmissionFence fence = new EmissionFence(() -> leaseUntil, () -> releasing);
+  private final EmissionFence fence = new EmissionFence(() -> leaseValidUntil, () -> releasing);
 
   @Test
-  void anOldDecisionIsWithheldOnceTheLeaseMayBeOver() {
+  void withholdsStaleDecisionsOnceLeaseMayHaveExpired() {
     fence.onInput(1_000);
     assertFalse(fence.withholds(1_000, 4_999));
     assertTrue(fence.withholds(1_000, 5_000));
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void withoutAStopAnOutageWithholdsNothing() {
+  void withholdsNothingInOutageWithoutStall() {
     for (long now = 0; now < 60_000; now += 50) {
       fence.onInput(now);
       assertFalse(fence.withholds(now, now + 1), "at " + now);
@@ -28,17 +28,17 @@
   }
 
   @Test
-  void afterAStopNothingIsSentUntilTheLeaseIsKnownToLive() {
+  void withholdsAllAfterStallUntilLeaseIsKnownToBeValid() {
     fence.onInput(1_000);
     fence.onInput(9_000);
     assertTrue(fence.withholds(9_000, 9_000));
     assertTrue(fence.withholds(9_400, 9_400));
-    leaseUntil = 14_000;
+    leaseValidUntil = 14_000;
     assertFalse(fence.withholds(9_500, 9_500));
   }
 
   @Test
-  void whereTheStateServiceDoesNotAnswerItGoesOnAfterAWhile() {
+  void resumesAfterStallIfStateServiceDoesNotAnswer() {
     fence.onInput(1_000);
     fence.onInput(9_000);
     for (long now = 9_000; now < 10_500; now += 50) {
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void whileRolesAreReleasedAllIsWithheld() {
+  void withholdsAllWhileRolesAreReleased() {
     fence.onInput(1_000);
     releasing = true;
     assertTrue(fence.withholds(1_000, 1_000));
--- a/src/test/java/org/baygw/control/standby/Decisions.java
+++ b/src/test/java/org/baygw/control/standby/RandomDecisions.java
@@ -4,10 +4,10 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /** Random decisions of all types for tests, on few machines and jobs so that they interact. */
-final class Decisions {
+final class RandomDecisions {
   private final Random random;
 
-  Decisions(long seed) {
+  RandomDecisions(long seed) {
     random = new Random(seed);
   }
 
--- a/src/test/java/org/baygw/control/standby/ReplicationCodecTest.java
+++ b/src/test/java/org/baygw/control/standby/ReplicationCodecTest.java
@@ -24,7 +24,7 @@
   private static final Role ROLE = new Role("a.0");
 
   private static ReplicationMessage message() {
-    Decisions decisions = new Decisions(1);
+    RandomDecisions decisions = new RandomDecisions(1);
     List<Decision> all = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
       all.add(decisions.next());
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void writesWhatAvroReadsBySchema() throws IOException {
+  void encodingMatchesAvroSchema() throws IOException {
     byte[] bytes = ReplicationCodec.encode(message());
     assertArrayEquals(bytes, throughAvro(schema("ReplicationMessage.avsc"), bytes));
     byte[] answer = ReplicationCodec.encode(answer());
@@ -70,13 +70,13 @@
   }
 
   @Test
-  void readsWhatItWrites() throws IOException {
+  void decodesWhatItEncodes() throws IOException {
     assertEquals(message(), ReplicationCodec.decode(ReplicationCodec.encode(message())));
     assertEquals(answer(), ReplicationCodec.decodeAnswer(ReplicationCodec.encode(answer())));
   }
 
   @Test
-  void refusesWhatEndsTooSoon() {
+  void rejectsTruncatedMessages() {
     byte[] whole = ReplicationCodec.encode(message());
     for (int length = 0; length < whole.length; length++) {
       byte[] part = Arrays.copyOf(whole, length);
@@ -85,8 +85,8 @@
   }
 
   @Test
-  void knowsHowLargeDecisionsAre() {
-    Decisions decisions = new Decisions(2);
+  void maxSizeBoundsEncodedDecisions() {
+    RandomDecisions decisions = new RandomDecisions(2);
     for (int i = 0; i < 500; i++) {
       Decision decision = decisions.next();
       RoleUpdate with = new RoleUpdate.LogUpdate(ROLE, 1, 1, List.of(decision));
--- a/src/test/java/org/baygw/control/standby/ReplicationTest.java
+++ b/src/test/java/org/baygw/control/standby/ReplicationTest.java
@@ -15,7 +15,7 @@
 /** Replicates a log to a standby, also over a link that loses, repeats and delays messages. */
 final class ReplicationTest {
   private static final Role ROLE = new Role("a.0");
-  private static final int EVERYTHING = Integer.MAX_VALUE;
+  private static final int UNLIMITED_BYTES = Integer.MAX_VALUE;
 
   private final Replica.Counters counters = new Replica.Counters();
 
@@ -37,20 +37,20 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
-  void followsThroughLossRepetitionAndDelay(long seed) {
+  void convergesDespiteLossRepetitionAndDelay(long seed) {
     Random random = new Random(seed);
-    Decisions decisions = new Decisions(seed);
+    RandomDecisions decisions = new RandomDecisions(seed);
     DecisionLog log = log(7, RoleState.EMPTY);
     ReplicationStream stream = new ReplicationStream(log, "yurt-1");
     Replica replica = replica();
-    List<RoleUpdate> late = new ArrayList<>();
+    List<RoleUpdate> delayed = new ArrayList<>();
     for (int step = 0; step < 600; step++) {
       for (int i = random.nextInt(12); i > 0; i--) {
         log.append(decisions.next());
       }
       RoleUpdate update = stream.nextUpdate(100 + random.nextInt(2_000));
       if (random.nextInt(4) == 0) {
-        late.add(update);
+        delayed.add(update);
       }
       if (random.nextInt(5) > 0) {
         RoleAck ack = replica.receive(update, step);
@@ -58,8 +58,8 @@
           stream.acknowledge(ack);
         }
       }
-      if (!late.isEmpty() && random.nextInt(3) == 0) {
-        replica.receive(late.remove(random.nextInt(late.size())), step);
+      if (!delayed.isEmpty() && random.nextInt(3) == 0) {
+        replica.receive(delayed.remove(random.nextInt(delayed.size())), step);
       }
       assertTrue(log.tailSize() <= 64);
     }
@@ -71,10 +71,10 @@
   }
 
   @Test
-  void whatIsOfAnOlderEpochIsDropped() {
+  void dropsUpdatesOfOlderEpochs() {
     DecisionLog old = log(5, RoleState.EMPTY);
     old.append(new Decision.MachineSick("n-1"));
-    RoleUpdate late = new ReplicationStream(old, "yurt-1").nextUpdate(EVERYTHING);
+    RoleUpdate late = new ReplicationStream(old, "yurt-1").nextUpdate(UNLIMITED_BYTES);
     Replica replica = replica();
     ReplicationStream stream = new ReplicationStream(log(9, RoleState.EMPTY), "yurt-1");
     catchUp(stream, replica);
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void aNewEpochKeepsWhatWasKnownUntilItsSnapshotHasCome() {
+  void keepsFormerStateUntilSnapshotOfNewEpoch() {
     DecisionLog first = log(5, RoleState.EMPTY);
     first.append(new Decision.MachineSick("n-1"));
     Replica replica = replica();
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void aGapIsNotJumpedOver() {
+  void appliesNothingAfterGap() {
     DecisionLog log = log(5, RoleState.EMPTY);
     Replica replica = replica();
     catchUp(new ReplicationStream(log, "yurt-1"), replica);
@@ -112,9 +112,9 @@
   }
 
   @Test
-  void aStandbyThatStartedAnewGetsASnapshotAgain() {
+  void restartedStandbyGetsSnapshotAgain() {
     DecisionLog log = log(5, RoleState.EMPTY);
-    Decisions decisions = new Decisions(3);
+    RandomDecisions decisions = new RandomDecisions(3);
     for (int i = 0; i < 500; i++) {
       log.append(decisions.next());
     }
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void aReleaseCountsForItsEpochOnlyHoweverOftenItComes() {
+  void repeatedReleaseCountsForItsEpochOnly() {
     Replica replica = replica();
     RoleUpdate.Release release = new RoleUpdate.Release(ROLE, 5, 12);
     replica.receive(release, 1);
@@ -145,7 +145,7 @@
 
   /** Bounds bytes and memory for the largest fleets: 4,000 machines with 16 tasks each. */
   @Test
-  void aLogOfFourThousandMachinesIsBounded() {
+  void logAndSnapshotOfFourThousandMachinesAreBounded() {
     DecisionLog log = new DecisionLog(ROLE, 5, RoleState.EMPTY, 4_096);
     for (int machine = 0; machine < 4_000; machine++) {
       String name = String.format("n-%06d", machine);
