--- a/src/main/java/org/baygw/control/standby/DecisionLog.java
+++ b/src/main/java/org/baygw/control/standby/DecisionLog.java
@@ -23,7 +23,7 @@
    * Creates an empty log.
    *
    * @param base the state inherited from the former epoch
-   * @param bound how many decisions are kept for a standby that lags
+   * @param maxKept how many decisions are kept for a standby that lags
    */
   DecisionLog(Role role, long epoch, RoleState base, int maxKept) {
     this.role = role;
--- a/src/main/java/org/baygw/control/standby/RoleTable.java
+++ b/src/main/java/org/baygw/control/standby/RoleTable.java
@@ -193,7 +193,8 @@
   }
 
   /**
-   * Starts the log of a new epoch with the part of the replica that the durable record confirms.
+   * Starts the log of a new epoch from the replica's state, without what the durable record
+   * contradicts.
    */
   private void activate(RoleEntry entry, long epoch) {
     if (entry.active() && entry.log.epoch() == epoch) {
