--- a/src/main/java/org/baygw/control/standby/EmissionFence.java
+++ b/src/main/java/org/baygw/control/standby/EmissionFence.java
@@ -6,10 +6,10 @@
 
 /**
  * Withholds orders to workers between decision and sending if another controller may have replaced
- * this one meanwhile, because it stalled for so long that its membership lease may have expired. A
- * recent decision is sent; a stale one is not, and after a stall nothing is sent until the lease is
- * known to be valid or the state service has had time to answer. Orders that have left this process
- * are fenced by the workers' tokens.
+ * this one meanwhile, because it stalled for so long that its membership lease may have expired.
+ * Then a recent decision is still sent but a stale one is not, and after a stall nothing is sent
+ * until the lease is known to be valid or the state service has had time to answer. Orders that
+ * have left this process are fenced by the workers' tokens.
  */
 final class EmissionFence {
   private final LongSupplier leaseValidUntil;
