--- a/src/main/java/org/baygw/control/Controller.java
+++ b/src/main/java/org/baygw/control/Controller.java
@@ -76,7 +76,7 @@
   /** Begins to hand over this controller's roles, because the process is about to end. */
   public void beginShutdown() {
     if (standby != null) {
-      standby.beginToEnd();
+      standby.beginShutdown();
     }
   }
 
@@ -88,7 +88,7 @@
   private void beginInput(long nowMs, long wallMs) {
     clock.set(nowMs, wallMs);
     if (standby != null) {
-      standby.input(nowMs);
+      standby.onInput(nowMs);
     }
   }
 
--- a/src/main/java/org/baygw/control/standby/Replica.java
+++ b/src/main/java/org/baygw/control/standby/Replica.java
@@ -3,11 +3,12 @@
 import java.util.List;
 
 /**
- * A standby's copy of a role's state. It applies decisions in their order, each once; it drops what
- * is of an older epoch or already applied, and asks for a snapshot where something is missing.
+ * A standby's copy of a role's state. Applies decisions in order, each once, drops updates of older
+ * epochs and decisions that were applied before, and reports in its acknowledgement from where
+ * decisions are missing or that it needs a snapshot.
  */
 final class Replica {
-  /** How updates were dealt with, for operators. */
+  /** Counts of handled updates and decisions, for operators. */
   static final class Counters {
     long applied;
     long repeated;
@@ -16,31 +17,34 @@
     long outdated;
   }
 
-  private static final long NOTHING = RoleAck.NEEDS_SNAPSHOT;
+  private static final long NO_SEQUENCE = RoleAck.NEEDS_SNAPSHOT;
 
   private final Role role;
   private final Counters counters;
   private RoleState state = RoleState.EMPTY;
   private long epoch;
-  private long applied = NOTHING;
+  private long applied = NO_SEQUENCE;
 
-  /** The snapshot that is being received: its decisions' sum, its number and its next part. */
-  private RoleState partial = RoleState.EMPTY;
+  /** The state rebuilt so far from the snapshot that is being received. */
+  private RoleState partialState = RoleState.EMPTY;
 
-  private long partialSequence = NOTHING;
+  private long partialSequence = NO_SEQUENCE;
   private int nextPart;
 
   private long releasedEpoch;
   private long finalSequence;
-  private long heardAt;
+  private long lastHeardAt;
 
   Replica(Role role, Counters counters, long now) {
     this.role = role;
     this.counters = counters;
-    this.heardAt = now;
+    this.lastHeardAt = now;
   }
 
-  /** The state as far as it has been applied, of {@link #epoch()}. */
+  /**
+   * The state after the last decision applied. Until the first snapshot of {@link #epoch()} is
+   * complete, this is the state known from an earlier epoch.
+   */
   RoleState state() {
     return state;
   }
@@ -49,40 +53,40 @@
     return epoch;
   }
 
-  /** The number of the last decision applied; negative where there is no state of the epoch yet. */
+  /** The sequence number of the last decision applied; negative without a state of the epoch. */
   long applied() {
     return applied;
   }
 
-  /** When the active controller was last heard. */
-  long heardAt() {
-    return heardAt;
+  /** When the active controller was last heard from. */
+  long lastHeardAt() {
+    return lastHeardAt;
   }
 
-  /** Whether the active controller of that epoch has said that it has given the role up. */
+  /** Whether the active controller of the given epoch has announced the release of the role. */
   boolean released(long ofEpoch) {
     return releasedEpoch == ofEpoch && ofEpoch > 0;
   }
 
-  /** The last decision of the epoch that was released. */
+  /** The sequence number of the last decision of the released epoch. */
   long finalSequence() {
     return finalSequence;
   }
 
-  /** Takes an update in and says how far this replica is. */
+  /** Applies an update and returns what this replica has applied. */
   RoleAck receive(RoleUpdate update, long now) {
     if (update.epoch() < epoch) {
       counters.outdated++;
       return ack();
     }
-    heardAt = now;
+    lastHeardAt = now;
     if (update.epoch() > epoch) {
-      begin(update.epoch());
+      beginEpoch(update.epoch());
     }
     if (update instanceof RoleUpdate.LogUpdate log) {
-      append(log);
+      applyLog(log);
     } else if (update instanceof RoleUpdate.SnapshotPart part) {
-      take(part);
+      applySnapshotPart(part);
     } else if (update instanceof RoleUpdate.Release release) {
       releasedEpoch = release.epoch();
       finalSequence = release.finalSequence();
@@ -90,35 +94,35 @@
     return ack();
   }
 
-  /** A new epoch: what is known stays until the epoch's own snapshot has come. */
-  private void begin(long newEpoch) {
+  /** Starts a new epoch; the known state is kept until the new epoch's snapshot is complete. */
+  private void beginEpoch(long newEpoch) {
     epoch = newEpoch;
-    applied = NOTHING;
-    forgetPartial();
+    applied = NO_SEQUENCE;
+    discardPartial();
   }
 
-  private void append(RoleUpdate.LogUpdate log) {
-    if (applied == NOTHING || log.first() > applied + 1) {
-      counters.gaps += applied == NOTHING ? 0 : 1;
-      return; // the answer says what is missing
+  private void applyLog(RoleUpdate.LogUpdate update) {
+    if (applied == NO_SEQUENCE || update.first() > applied + 1) {
+      counters.gaps += applied == NO_SEQUENCE ? 0 : 1;
+      return; // the acknowledgement tells the sender what is missing
     }
-    List<Decision> decisions = log.decisions();
-    long known = Math.min(decisions.size(), applied + 1 - log.first());
-    counters.repeated += known;
-    for (Decision decision : decisions.subList((int) known, decisions.size())) {
+    List<Decision> decisions = update.decisions();
+    long alreadyApplied = Math.min(decisions.size(), applied + 1 - update.first());
+    counters.repeated += alreadyApplied;
+    for (Decision decision : decisions.subList((int) alreadyApplied, decisions.size())) {
       state = state.apply(decision);
       applied++;
       counters.applied++;
     }
   }
 
-  private void take(RoleUpdate.SnapshotPart part) {
+  private void applySnapshotPart(RoleUpdate.SnapshotPart part) {
     if (part.sequence() <= applied) {
       counters.repeated++;
       return;
     }
     if (part.part() == 0) {
-      partial = RoleState.EMPTY;
+      partialState = RoleState.EMPTY;
       partialSequence = part.sequence();
       nextPart = 0;
     }
@@ -127,20 +131,20 @@
       return;
     }
     for (Decision decision : part.decisions()) {
-      partial = partial.apply(decision);
+      partialState = partialState.apply(decision);
     }
     nextPart++;
     if (part.last()) {
-      state = partial;
+      state = partialState;
       applied = part.sequence();
       counters.snapshots++;
-      forgetPartial();
+      discardPartial();
     }
   }
 
-  private void forgetPartial() {
-    partial = RoleState.EMPTY;
-    partialSequence = NOTHING;
+  private void discardPartial() {
+    partialState = RoleState.EMPTY;
+    partialSequence = NO_SEQUENCE;
     nextPart = 0;
   }
 
--- a/src/main/java/org/baygw/control/standby/ReplicationStream.java
+++ b/src/main/java/org/baygw/control/standby/ReplicationStream.java
@@ -6,28 +6,31 @@
 import java.util.List;
 
 /**
- * What an active controller sends one standby of one role, and how far the standby is. One message
- * at a time is under way; one without an answer is made up anew from the last acknowledged number.
+ * Builds the updates on one role for one standby and tracks the standby's progress. Only one
+ * message is in flight at a time; if no answer comes, the next update is built again from the last
+ * acknowledged sequence number.
  */
 final class ReplicationStream {
   private final DecisionLog log;
   private final String standby;
   private long acknowledged = RoleAck.NEEDS_SNAPSHOT;
 
-  /** The number of the last decision when the latest update was made. */
-  private long lastWhenSent;
+  /** The sequence number of the last decision when the latest update was built. */
+  private long lastSequenceWhenBuilt;
 
-  /** Since when decisions wait for their acknowledgement; 0 where none does. */
+  /** Since when there have been unacknowledged decisions; 0 if there are none. */
   private long laggingSince;
 
-  /** The snapshot that is being sent: what is left of it, its number, and how many parts it had. */
-  private PeekingIterator<Decision> snapshot;
+  /**
+   * The decisions of the snapshot in progress that are not in a part yet; null if there is none.
+   */
+  private PeekingIterator<Decision> snapshotDecisions;
 
   private long snapshotSequence = RoleAck.NEEDS_SNAPSHOT;
-  private int parts;
+  private int partsBuilt;
 
-  /** The part that is under way, or null. */
-  private RoleUpdate.SnapshotPart part;
+  /** The part in flight, or null. */
+  private RoleUpdate.SnapshotPart partInFlight;
 
   ReplicationStream(DecisionLog log, String standby) {
     this.log = log;
@@ -42,98 +45,107 @@
     return log;
   }
 
-  /** The number of the last decision that the standby has applied; negative before a snapshot. */
+  /**
+   * The sequence number of the last decision that the standby applied; negative before a snapshot.
+   */
   long acknowledged() {
     return acknowledged;
   }
 
-  /** How many decisions the standby lacks. */
-  long lag() {
-    return log.last() - Math.max(0, acknowledged);
+  /** Number of decisions that the standby lacks. */
+  long lagDecisions() {
+    return log.lastSequence() - Math.max(0, acknowledged);
   }
 
-  /** For how long the standby has lacked decisions, in ms. */
+  /** How long the standby has lacked decisions, in ms. */
   long lagMs(long now) {
     return laggingSince == 0 ? 0 : now - laggingSince;
   }
 
   boolean upToDate() {
-    return acknowledged == log.last();
+    return acknowledged == log.lastSequence();
   }
 
-  /** Notes the time at which the standby began to lag. */
+  /** Records the time at which the standby began to lag. */
   void tick(long now) {
     laggingSince = upToDate() ? 0 : laggingSince == 0 ? now : laggingSince;
   }
 
-  /** The next update, of about so many bytes at the most. */
-  RoleUpdate next(int bytes) {
-    lastWhenSent = log.last();
+  /** The next update, of at most about the given number of bytes. */
+  RoleUpdate nextUpdate(int maxBytes) {
+    lastSequenceWhenBuilt = log.lastSequence();
     if (acknowledged != RoleAck.NEEDS_SNAPSHOT && log.reachesBackTo(acknowledged)) {
       return new RoleUpdate.LogUpdate(
-          log.role(), log.epoch(), acknowledged + 1, log.after(acknowledged, bytes));
+          log.role(), log.epoch(), acknowledged + 1, log.decisionsAfter(acknowledged, maxBytes));
     }
-    if (part == null) {
-      part = nextPart(bytes);
+    if (partInFlight == null) {
+      partInFlight = nextPart(maxBytes);
     }
-    return part;
+    return partInFlight;
   }
 
-  private RoleUpdate.SnapshotPart nextPart(int bytes) {
-    if (snapshot == null) {
-      snapshot = Iterators.peekingIterator(log.state().decisions());
-      snapshotSequence = log.last();
+  private RoleUpdate.SnapshotPart nextPart(int maxBytes) {
+    if (snapshotDecisions == null) {
+      snapshotDecisions = Iterators.peekingIterator(log.state().decisions());
+      snapshotSequence = log.lastSequence();
     }
-    List<Decision> decisions = take(snapshot, bytes);
+    List<Decision> decisions = takeUpTo(snapshotDecisions, maxBytes);
     return new RoleUpdate.SnapshotPart(
-        log.role(), log.epoch(), snapshotSequence, parts++, !snapshot.hasNext(), decisions);
+        log.role(),
+        log.epoch(),
+        snapshotSequence,
+        partsBuilt++,
+        !snapshotDecisions.hasNext(),
+        decisions);
   }
 
-  private static List<Decision> take(PeekingIterator<Decision> from, int bytes) {
+  private static List<Decision> takeUpTo(PeekingIterator<Decision> source, int maxBytes) {
     List<Decision> taken = new ArrayList<>();
-    int left = bytes;
-    while (from.hasNext()) {
-      left -= DecisionCodec.sizeOf(from.peek());
-      if (left < 0 && !taken.isEmpty()) {
+    int remainingBytes = maxBytes;
+    while (source.hasNext()) {
+      remainingBytes -= DecisionCodec.maxSize(source.peek());
+      if (remainingBytes < 0 && !taken.isEmpty()) {
         break;
       }
-      taken.add(from.next());
+      taken.add(source.next());
     }
     return taken;
   }
 
   /**
-   * Takes the standby's answer in; of an epoch that is not this log's it says nothing.
+   * Processes an acknowledgement from the standby; one for another epoch is ignored.
    *
-   * @return whether the standby got on and the message that it answers left something out
+   * @return whether the standby made progress but the update that it acknowledges did not contain
+   *     all decisions of that time
    */
   boolean acknowledge(RoleAck ack) {
     if (ack.epoch() != log.epoch()) {
       return false;
     }
     boolean progress =
-        ack.applied() > acknowledged || part != null && ack.partsReceived() > part.part();
-    acknowledged = Math.min(ack.applied(), log.last());
+        ack.applied() > acknowledged
+            || partInFlight != null && ack.partsReceived() > partInFlight.part();
+    acknowledged = Math.min(ack.applied(), log.lastSequence());
     if (acknowledged != RoleAck.NEEDS_SNAPSHOT && acknowledged >= snapshotSequence) {
       endSnapshot();
-    } else if (part != null) {
+    } else if (partInFlight != null) {
       continueSnapshot(ack.partsReceived());
     }
-    return progress && acknowledged < lastWhenSent;
+    return progress && acknowledged < lastSequenceWhenBuilt;
   }
 
   private void continueSnapshot(int received) {
-    if (received == part.part() + 1) {
-      part = null; // the next one is made when it is sent
-    } else if (received != part.part()) {
-      endSnapshot(); // the standby began anew
+    if (received == partInFlight.part() + 1) {
+      partInFlight = null; // the next part is built when it is sent
+    } else if (received != partInFlight.part()) {
+      endSnapshot(); // the standby started over
     }
   }
 
   private void endSnapshot() {
-    snapshot = null;
-    part = null;
-    parts = 0;
+    snapshotDecisions = null;
+    partInFlight = null;
+    partsBuilt = 0;
     snapshotSequence = RoleAck.NEEDS_SNAPSHOT;
   }
 }
--- a/src/main/java/org/baygw/control/standby/Replicator.java
+++ b/src/main/java/org/baygw/control/standby/Replicator.java
@@ -15,20 +15,20 @@
 import org.baygw.control.store.Store;
 
 /**
- * Carries decision logs from this controller to its standbys and takes in those of others. To each
- * sibling one message at a time is under way, with all roles of which it is the standby.
+ * Sends this controller's decision logs to its standbys and receives the logs of other controllers.
+ * Each peer has at most one message in flight, for all roles for which the peer is the standby.
  */
 final class Replicator {
   static final String PATH = "/peer/replication";
 
-  /** The traffic with one sibling. */
+  /** The replication traffic to one peer. */
   private static final class Link {
     private final Settings.Peer peer;
     private boolean sending;
     private long lastSent = Long.MIN_VALUE / 2;
 
-    /** The latest answer left something to be sent at once. */
-    private boolean more;
+    /** Whether decisions that did not fit into the latest message are to be sent at once. */
+    private boolean sendMoreAtOnce;
 
     private final List<RoleUpdate.Release> releases = new ArrayList<>();
 
@@ -73,18 +73,18 @@
     return bytesReceived;
   }
 
-  /** Messages that were not answered in time. */
+  /** Number of messages without a valid answer in time. */
   long unanswered() {
     return unanswered;
   }
 
-  /** Whether what there is goes out without waiting for a batch to fill. */
-  void flushing(boolean now) {
-    flushing = now;
+  /** Sets whether pending decisions are sent without waiting for the batch interval. */
+  void setFlushing(boolean enabled) {
+    flushing = enabled;
   }
 
-  /** This controller has given a role up after that decision. */
-  void release(String standby, RoleUpdate.Release release) {
+  /** Queues the release of a role by this controller for sending to the standby. */
+  void queueRelease(String standby, RoleUpdate.Release release) {
     Link link = links.get(standby);
     if (link != null) {
       link.releases.add(release);
@@ -99,9 +99,9 @@
       }
     }
     for (Link link : links.values()) {
-      List<ReplicationStream> toIt = streams.getOrDefault(link.peer.label(), List.of());
-      if (!link.sending && due(link, toIt)) {
-        send(link, toIt);
+      List<ReplicationStream> linkStreams = streams.getOrDefault(link.peer.label(), List.of());
+      if (!link.sending && due(link, linkStreams)) {
+        send(link, linkStreams);
       }
     }
   }
@@ -113,28 +113,28 @@
     if (streams.isEmpty()) {
       return false;
     }
-    long since = clock.now() - link.lastSent;
-    boolean lacking = streams.stream().anyMatch(stream -> !stream.upToDate());
-    return since >= features.heartbeatMs()
-        || lacking && (since >= features.batchMs() || link.more || flushing);
+    long sinceSentMs = clock.now() - link.lastSent;
+    boolean behind = streams.stream().anyMatch(stream -> !stream.upToDate());
+    return sinceSentMs >= features.heartbeatMs()
+        || behind && (sinceSentMs >= features.batchMs() || link.sendMoreAtOnce || flushing);
   }
 
   private void send(Link link, List<ReplicationStream> streams) {
     List<RoleUpdate> updates = new ArrayList<>(link.releases);
     boolean heartbeat = clock.now() - link.lastSent >= features.heartbeatMs();
-    int left = Constants.REPLICATION_BYTES;
+    int remainingBytes = Constants.REPLICATION_MESSAGE_BYTES;
     for (ReplicationStream stream : streams) {
-      if (left > 0 && (heartbeat || !stream.upToDate())) {
-        RoleUpdate update = stream.next(left);
+      if (remainingBytes > 0 && (heartbeat || !stream.upToDate())) {
+        RoleUpdate update = stream.nextUpdate(remainingBytes);
         updates.add(update);
-        left -= sizeOf(update);
+        remainingBytes -= maxSize(update);
       }
     }
     byte[] body =
         ReplicationCodec.encode(new ReplicationMessage(settings.label(), List.copyOf(updates)));
     bytesSent += body.length;
     link.sending = true;
-    link.more = false;
+    link.sendMoreAtOnce = false;
     link.lastSent = clock.now();
     List<RoleUpdate.Release> releases = List.copyOf(link.releases);
     out.call(
@@ -143,27 +143,27 @@
         PATH,
         body,
         Constants.REPLICATION_TIMEOUT_MS,
-        (status, answer) -> answered(link, releases, status, answer));
+        (status, answer) -> onAnswer(link, releases, status, answer));
   }
 
-  private static int sizeOf(RoleUpdate update) {
+  private static int maxSize(RoleUpdate update) {
     if (update instanceof RoleUpdate.LogUpdate log) {
-      return log.decisions().stream().mapToInt(DecisionCodec::sizeOf).sum();
+      return log.decisions().stream().mapToInt(DecisionCodec::maxSize).sum();
     } else if (update instanceof RoleUpdate.SnapshotPart part) {
-      return part.decisions().stream().mapToInt(DecisionCodec::sizeOf).sum();
+      return part.decisions().stream().mapToInt(DecisionCodec::maxSize).sum();
     }
     return 0;
   }
 
-  private void answered(Link link, List<RoleUpdate.Release> releases, int status, byte[] body) {
+  private void onAnswer(Link link, List<RoleUpdate.Release> releases, int status, byte[] body) {
     link.sending = false;
-    // A release is a hint that is told once; the claim's end in the state service is what counts.
+    // A release is a hint that is sent once; the end of the claim in the state service decides.
     link.releases.removeAll(releases);
     ReplicationMessage.Answer answer = null;
     try {
       answer = status == 200 ? ReplicationCodec.decodeAnswer(body) : null;
     } catch (IOException | RuntimeException e) {
-      // Whatever it was, it acknowledges nothing.
+      // An answer that cannot be decoded acknowledges nothing.
     }
     if (answer == null || !answer.sender().equals(link.peer.label())) {
       unanswered++;
@@ -178,12 +178,12 @@
     RoleEntry entry = roles.entry(ack.role());
     ReplicationStream stream = entry == null ? null : entry.stream;
     if (stream != null && stream.standby().equals(link.peer.label())) {
-      // Only what did not fit into the message goes on at once; new decisions make a new batch.
-      link.more |= stream.acknowledge(ack);
+      // Only decisions that did not fit into the message are sent at once; new ones are batched.
+      link.sendMoreAtOnce |= stream.acknowledge(ack);
     }
   }
 
-  /** A sibling's message; answered with how far this controller is. */
+  /** Applies a peer's message and answers with what this controller has applied. */
   void receive(long request, byte[] body) {
     ReplicationMessage message;
     try {
@@ -192,7 +192,8 @@
       message = null;
     }
     if (message == null || !links.containsKey(message.sender())) {
-      out.answer(request, 400, Json.bytes(Json.object().put("error", "no replication message")));
+      out.answer(
+          request, 400, Json.bytes(Json.object().put("error", "not a valid replication message")));
       return;
     }
     bytesReceived += body.length;
@@ -214,7 +215,7 @@
       return new RoleAck(update.role(), entry.log.epoch(), RoleAck.NEEDS_SNAPSHOT, 0);
     }
     if (update instanceof RoleUpdate.Release) {
-      store.refresh(); // to see the claim's end, which is what counts
+      store.refresh(); // to see the end of the claim, which decides
     }
     return roles.replica(entry).receive(update, clock.now());
   }
--- a/src/main/java/org/baygw/control/standby/RoleTable.java
+++ b/src/main/java/org/baygw/control/standby/RoleTable.java
@@ -15,15 +15,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who is active and who is standby of each role, as far as this controller sees it. The standby is
- * the controller that the rules of membership make the successor, so there is never another one to
- * agree on.
+ * Tracks which controller is active and which is standby for each role, as seen by this controller.
+ * The standby is always the successor by the membership rules, so controllers need no separate
+ * agreement on it.
  */
 final class RoleTable {
   private static final Logger LOG = LoggerFactory.getLogger(RoleTable.class);
 
-  /** Periods of silence after which what a former active controller sent is dropped. */
-  private static final int KEPT_SUSPECT_PERIODS = 4;
+  /**
+   * Multiple of the suspicion timeout for which the replica of a silent active controller is kept
+   * once this controller is no longer the successor.
+   */
+  private static final int RETENTION_SUSPECT_PERIODS = 4;
 
   private final Clock clock;
   private final Settings settings;
@@ -33,9 +36,9 @@
   private final Replica.Counters counters = new Replica.Counters();
   private final Map<Role, RoleEntry> entries = new TreeMap<>();
   private final Map<Partition, RoleEntry> byPartition = new HashMap<>();
-  private long nextLook;
+  private long nextUpdate;
 
-  /** Changes of claims and members when standbys were last chosen. */
+  /** The state cache's count of claim and member changes when standbys were last chosen. */
   private long ownershipChanges = -1;
 
   private long takeovers;
@@ -58,7 +61,7 @@
     return entries.values();
   }
 
-  /** The entry of a role; null where there is no such role. */
+  /** The entry of a role; null if there is no such role. */
   RoleEntry entry(Role role) {
     if (entries.isEmpty()) {
       makeEntries();
@@ -70,17 +73,17 @@
     return counters;
   }
 
-  /** How often this controller has become active for a role. */
+  /** Number of times that this controller has become active for a role. */
   long takeovers() {
     return takeovers;
   }
 
-  /** Differences between replicas and the durable record, found at takeovers. */
+  /** Number of differences between replicas and the durable record, found at takeovers. */
   long differences() {
     return differences;
   }
 
-  /** The log of a partition's role, if this controller is active for it, else null. */
+  /** The log of a partition's role if this controller is active for it, else null. */
   DecisionLog log(Partition partition) {
     if (entries.isEmpty()) {
       makeEntries();
@@ -88,7 +91,7 @@
     return log(byPartition.get(partition));
   }
 
-  /** The log of the leader's role, if this controller leads, else null. */
+  /** The log of the leader role if this controller is the leader, else null. */
   DecisionLog leaderLog() {
     return log(entry(Role.LEADER));
   }
@@ -102,24 +105,24 @@
       return null;
     }
     if (!entry.active() || entry.log.epoch() != epoch) {
-      look(entry); // the role has just become this controller's
+      updateEntry(entry); // this controller has just acquired the role
     }
     return entry.log;
   }
 
   void tick() {
-    if (view.partitionsPerZone() == 0 || clock.now() < nextLook) {
+    if (view.partitionsPerZone() == 0 || clock.now() < nextUpdate) {
       return;
     }
-    nextLook = clock.now() + Constants.ROLE_LOOK_MS;
+    nextUpdate = clock.now() + Constants.ROLE_UPDATE_MS;
     if (entries.isEmpty()) {
       makeEntries();
     }
     chooseStandbys();
-    entries.values().forEach(this::look);
+    entries.values().forEach(this::updateEntry);
   }
 
-  /** The number of partitions is durable and never changes, so entries are made once. */
+  /** Creates the entries once: the number of partitions is durable and never changes. */
   private void makeEntries() {
     if (view.partitionsPerZone() == 0) {
       return;
@@ -132,7 +135,7 @@
     }
   }
 
-  /** Only claims and members decide, so without a change of them there is nothing to choose. */
+  /** Standbys depend only on claims and members, so they are chosen again when those change. */
   private void chooseStandbys() {
     if (ownershipChanges != view.ownershipChanges()) {
       ownershipChanges = view.ownershipChanges();
@@ -142,11 +145,11 @@
     }
   }
 
-  private void look(RoleEntry entry) {
+  private void updateEntry(RoleEntry entry) {
     String role = entry.role.name();
     StateCache.Entry<StateCache.Claim> claim = membership.claim(role);
     long epoch = membership.heldClaimStamp(role);
-    Takeover.Transition change =
+    Takeover.Transition transition =
         entry.takeover.observe(
             new Takeover.Observation(
                 epoch,
@@ -161,34 +164,38 @@
       dropOutdated(entry);
     } else {
       activate(entry, epoch);
-      follow(entry);
+      updateStream(entry);
     }
-    if (change != null) {
-      tell(entry, change);
+    if (transition != null) {
+      logTransition(entry, transition);
     }
   }
 
-  private void tell(RoleEntry entry, Takeover.Transition change) {
-    String text = "role {}: {} after {}: {}";
-    if (change.to() == Takeover.State.FOLLOWING || change.to() == Takeover.State.UNINVOLVED) {
-      LOG.debug(text, entry.role, change.to(), change.from(), change.reason());
+  private void logTransition(RoleEntry entry, Takeover.Transition transition) {
+    String format = "role {}: {} after {}: {}";
+    if (transition.to() == Takeover.State.FOLLOWING
+        || transition.to() == Takeover.State.UNINVOLVED) {
+      LOG.debug(format, entry.role, transition.to(), transition.from(), transition.reason());
     } else {
-      LOG.info(text, entry.role, change.to(), change.from(), change.reason());
+      LOG.info(format, entry.role, transition.to(), transition.from(), transition.reason());
     }
   }
 
   private long silentMs(RoleEntry entry) {
-    return entry.replica == null ? 0 : clock.now() - entry.replica.heardAt();
+    return entry.replica == null ? 0 : clock.now() - entry.replica.lastHeardAt();
   }
 
   private void dropOutdated(RoleEntry entry) {
     boolean successor = settings.label().equals(entry.standby);
-    if (!successor && silentMs(entry) > KEPT_SUSPECT_PERIODS * features.suspectMs()) {
+    if (!successor && silentMs(entry) > RETENTION_SUSPECT_PERIODS * features.suspectMs()) {
       entry.replica = null;
     }
   }
 
-  /** Begins the log of a new epoch with what the replica has, as far as the record has it too. */
+  /**
+   * Starts the log of a new epoch from the replica's state, without what the durable record
+   * contradicts.
+   */
   private void activate(RoleEntry entry, long epoch) {
     if (entry.active() && entry.log.epoch() == epoch) {
       return;
@@ -210,12 +217,12 @@
     entry.replica = null;
   }
 
-  /** Sees to it that the log goes to the present standby, and to no other. */
-  private void follow(RoleEntry entry) {
-    boolean same = entry.stream != null && entry.stream.standby().equals(entry.standby);
+  /** Ensures that the log is streamed to the current standby and to no other controller. */
+  private void updateStream(RoleEntry entry) {
+    boolean sameStandby = entry.stream != null && entry.stream.standby().equals(entry.standby);
     if (entry.standby == null) {
       entry.stream = null;
-    } else if (!same || entry.stream.log() != entry.log) {
+    } else if (!sameStandby || entry.stream.log() != entry.log) {
       entry.stream = new ReplicationStream(entry.log, entry.standby);
     }
     if (entry.stream != null) {
@@ -223,7 +230,7 @@
     }
   }
 
-  /** The replica of a role, made if need be. */
+  /** The replica of a role, created if there is none. */
   Replica replica(RoleEntry entry) {
     if (entry.replica == null) {
       entry.replica = new Replica(entry.role, counters, clock.now());
--- a/src/main/java/org/baygw/control/standby/StandbyService.java
+++ b/src/main/java/org/baygw/control/standby/StandbyService.java
@@ -21,15 +21,16 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Warm standby, as the rest of a controller knows it: it takes the decisions of active roles, gives
- * a successor what was known before, fences orders, and hands roles over on request.
+ * Entry point of warm standby for the rest of the controller: records the decisions of active
+ * roles, provides the inherited state after a takeover, fences orders, and hands roles over on
+ * request.
  */
 public final class StandbyService implements Replication {
-  /** The path on which siblings replicate. */
+  /** The path to which other controllers post replication messages. */
   public static final String PATH = Replicator.PATH;
 
-  private static final String STATUS = "/admin/v1/standby";
-  private static final String HANDOVER = "/admin/v1/handover";
+  private static final String STATUS_PATH = "/admin/v1/standby";
+  private static final String HANDOVER_PATH = "/admin/v1/handover";
 
   private final Clock clock;
   private final Outbox out;
@@ -53,55 +54,58 @@
     this.membership = membership;
     this.roles = new RoleTable(clock, settings, features, membership, view);
     this.replicator = new Replicator(clock, out, settings, features, store, roles);
-    this.handover = new Handover(clock, membership, new HandedOver());
+    this.handover = new Handover(clock, membership, new HandoverRoles());
     this.fence = new EmissionFence(membership::leaseValidUntil, handover::releasing);
     this.report = new StandbyReport(clock, membership, roles, replicator, handover, fence);
   }
 
-  /** An input is about to be handled. */
-  public void input(long now) {
-    fence.input(now);
+  /** Called before each input is handled. */
+  public void onInput(long now) {
+    fence.onInput(now);
   }
 
-  /** Whether orders to workers that were decided then are not to be sent now. */
+  /**
+   * Whether orders to workers that were decided at {@code decidedAt} must not be sent at {@code
+   * now}.
+   */
   public boolean withholds(long decidedAt, long now) {
     return fence.withholds(decidedAt, now);
   }
 
-  /** Time has passed, or something has changed. */
+  /** Called when time has passed or state has changed. */
   public void tick() {
     roles.tick();
     handover.tick();
-    replicator.flushing(handover.phase() == Handover.Phase.FLUSHING);
+    replicator.setFlushing(handover.phase() == Handover.Phase.FLUSHING);
     replicator.tick();
   }
 
-  /** Another controller's replication message. */
+  /** Handles a replication message from another controller. */
   public void receive(long request, byte[] body) {
     replicator.receive(request, body);
   }
 
-  /** The process is to end: roles go to the standbys first. */
-  public void beginToEnd() {
-    handover.beginToEnd();
+  /** Begins the shutdown: all roles are handed over to the standbys first. */
+  public void beginShutdown() {
+    handover.beginShutdown();
   }
 
-  /** Whether the process may end without anybody waiting for its lease. */
+  /** Whether the process can exit without other controllers having to wait for its lease. */
   public boolean ended() {
-    return handover.ended();
+    return handover.shutdownComplete();
   }
 
   public void register(MetricsSink sink) {
     report.register(sink);
   }
 
-  /** Handles an operator's request if it is one of this subsystem's. */
+  /** Handles an operator's request if it belongs to this subsystem, else returns false. */
   public boolean handle(long request, String method, String path) {
-    if (path.equals(STATUS)) {
+    if (path.equals(STATUS_PATH)) {
       answer(request, method.equals("GET") ? 200 : 405, report.page());
       return true;
     }
-    if (!path.equals(HANDOVER)) {
+    if (!path.equals(HANDOVER_PATH)) {
       return false;
     }
     switch (method) {
@@ -129,29 +133,32 @@
     out.answer(request, status, Json.bytes(page));
   }
 
-  /** What a handover needs of logs and streams. */
-  private final class HandedOver implements Handover.Roles {
-    /** Roles that are being released: their entries forget it when the claims are gone. */
+  /** Gives a handover access to logs and streams. */
+  private final class HandoverRoles implements Handover.Roles {
+    /**
+     * Releases to announce, by standby. Collected beforehand, since the entries drop their logs and
+     * streams once the claims are deleted.
+     */
     private final Map<String, List<RoleUpdate.Release>> releases = new HashMap<>();
 
     @Override
     public boolean upToDate() {
       releases.clear();
-      boolean all = true;
+      boolean allUpToDate = true;
       for (RoleEntry entry : roles.entries()) {
         if (entry.stream != null) {
-          all &= entry.stream.upToDate();
+          allUpToDate &= entry.stream.upToDate();
           releases
               .computeIfAbsent(entry.stream.standby(), k -> new ArrayList<>())
-              .add(new RoleUpdate.Release(entry.role, entry.log.epoch(), entry.log.last()));
+              .add(new RoleUpdate.Release(entry.role, entry.log.epoch(), entry.log.lastSequence()));
         }
       }
-      return all;
+      return allUpToDate;
     }
 
     @Override
-    public void released() {
-      releases.forEach((standby, list) -> list.forEach(r -> replicator.release(standby, r)));
+    public void onReleased() {
+      releases.forEach((standby, list) -> list.forEach(r -> replicator.queueRelease(standby, r)));
       releases.clear();
     }
   }
@@ -246,7 +253,9 @@
       return null;
     }
     Map<TaskId, Long> ages = new HashMap<>();
-    known.launched().forEach((job, tasks) -> Reconciliation.ages(job, tasks, clock.wall(), ages));
+    known
+        .launched()
+        .forEach((job, tasks) -> Reconciliation.addAges(job, tasks, clock.wall(), ages));
     return new InheritedWorker(
         known.address(), known.session(), ages, Map.copyOf(known.failures()), known.sick());
   }
@@ -262,7 +271,7 @@
     Map<String, Long> waiting = new HashMap<>();
     state.waitingSinceMs().forEach((job, since) -> waiting.put(job, Math.max(0, now - since)));
     Map<TaskId, Long> granted = new HashMap<>();
-    state.grants().forEach((job, tasks) -> Reconciliation.ages(job, tasks, now, granted));
+    state.grants().forEach((job, tasks) -> Reconciliation.addAges(job, tasks, now, granted));
     List<RefusedCapacity> refused = new ArrayList<>();
     state
         .refusedUntilMs()
--- a/src/test/java/org/baygw/control/standby/Decisions.java
+++ b/src/test/java/org/baygw/control/standby/RandomDecisions.java
@@ -3,11 +3,11 @@
 import java.util.Random;
 import org.roaringbitmap.RoaringBitmap;
 
-/** Random decisions for tests: all kinds, about few machines and jobs so that they meet. */
-final class Decisions {
+/** Random decisions of all types for tests, on few machines and jobs so that they interact. */
+final class RandomDecisions {
   private final Random random;
 
-  Decisions(long seed) {
+  RandomDecisions(long seed) {
     random = new Random(seed);
   }
 
--- a/src/test/java/org/baygw/control/standby/ReplicationTest.java
+++ b/src/test/java/org/baygw/control/standby/ReplicationTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.roaringbitmap.RoaringBitmap;
 
-/** A log, its stream and a replica over a link that loses, repeats and delays messages. */
+/** Replicates a log to a standby, also over a link that loses, repeats and delays messages. */
 final class ReplicationTest {
   private static final Role ROLE = new Role("a.0");
-  private static final int EVERYTHING = Integer.MAX_VALUE;
+  private static final int UNLIMITED_BYTES = Integer.MAX_VALUE;
 
   private final Replica.Counters counters = new Replica.Counters();
 
@@ -27,30 +27,30 @@
     return new Replica(ROLE, counters, 0);
   }
 
-  /** Exchanges messages over a faultless link until the standby has everything. */
+  /** Exchanges messages without faults until the standby has applied all decisions. */
   private static void catchUp(ReplicationStream stream, Replica replica) {
     for (int i = 0; i < 1_000 && !stream.upToDate(); i++) {
-      stream.acknowledge(replica.receive(stream.next(400), i));
+      stream.acknowledge(replica.receive(stream.nextUpdate(400), i));
     }
     assertTrue(stream.upToDate());
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
-  void followsThroughLossRepetitionAndDelay(long seed) {
+  void convergesDespiteLossRepetitionAndDelay(long seed) {
     Random random = new Random(seed);
-    Decisions decisions = new Decisions(seed);
+    RandomDecisions decisions = new RandomDecisions(seed);
     DecisionLog log = log(7, RoleState.EMPTY);
     ReplicationStream stream = new ReplicationStream(log, "yurt-1");
     Replica replica = replica();
-    List<RoleUpdate> late = new ArrayList<>();
+    List<RoleUpdate> delayed = new ArrayList<>();
     for (int step = 0; step < 600; step++) {
       for (int i = random.nextInt(12); i > 0; i--) {
         log.append(decisions.next());
       }
-      RoleUpdate update = stream.next(100 + random.nextInt(2_000));
+      RoleUpdate update = stream.nextUpdate(100 + random.nextInt(2_000));
       if (random.nextInt(4) == 0) {
-        late.add(update);
+        delayed.add(update);
       }
       if (random.nextInt(5) > 0) {
         RoleAck ack = replica.receive(update, step);
@@ -58,23 +58,23 @@
           stream.acknowledge(ack);
         }
       }
-      if (!late.isEmpty() && random.nextInt(3) == 0) {
-        replica.receive(late.remove(random.nextInt(late.size())), step);
+      if (!delayed.isEmpty() && random.nextInt(3) == 0) {
+        replica.receive(delayed.remove(random.nextInt(delayed.size())), step);
       }
-      assertTrue(log.kept() <= 64);
+      assertTrue(log.tailSize() <= 64);
     }
     catchUp(stream, replica);
-    // Failures are counts, so a decision that were applied twice would show.
+    // Failures are counted, so a decision applied twice would change the state.
     assertEquals(log.state(), replica.state());
-    assertEquals(log.last(), replica.applied());
-    assertTrue(counters.snapshots > 0 && counters.repeated > 0, "the link was too good");
+    assertEquals(log.lastSequence(), replica.applied());
+    assertTrue(counters.snapshots > 0 && counters.repeated > 0, "the link had too few faults");
   }
 
   @Test
-  void whatIsOfAnOlderEpochIsDropped() {
+  void dropsUpdatesOfOlderEpochs() {
     DecisionLog old = log(5, RoleState.EMPTY);
     old.append(new Decision.MachineSick("n-1"));
-    RoleUpdate late = new ReplicationStream(old, "yurt-1").next(EVERYTHING);
+    RoleUpdate late = new ReplicationStream(old, "yurt-1").nextUpdate(UNLIMITED_BYTES);
     Replica replica = replica();
     ReplicationStream stream = new ReplicationStream(log(9, RoleState.EMPTY), "yurt-1");
     catchUp(stream, replica);
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void aNewEpochKeepsWhatWasKnownUntilItsSnapshotHasCome() {
+  void keepsFormerStateUntilSnapshotOfNewEpoch() {
     DecisionLog first = log(5, RoleState.EMPTY);
     first.append(new Decision.MachineSick("n-1"));
     Replica replica = replica();
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void aGapIsNotJumpedOver() {
+  void appliesNothingAfterGap() {
     DecisionLog log = log(5, RoleState.EMPTY);
     Replica replica = replica();
     catchUp(new ReplicationStream(log, "yurt-1"), replica);
@@ -112,16 +112,16 @@
   }
 
   @Test
-  void aStandbyThatStartedAnewGetsASnapshotAgain() {
+  void restartedStandbyGetsSnapshotAgain() {
     DecisionLog log = log(5, RoleState.EMPTY);
-    Decisions decisions = new Decisions(3);
+    RandomDecisions decisions = new RandomDecisions(3);
     for (int i = 0; i < 500; i++) {
       log.append(decisions.next());
     }
     ReplicationStream stream = new ReplicationStream(log, "yurt-1");
     Replica before = replica();
     for (int i = 0; i < 3; i++) {
-      stream.acknowledge(before.receive(stream.next(300), i));
+      stream.acknowledge(before.receive(stream.nextUpdate(300), i));
     }
     assertFalse(stream.upToDate());
     Replica after = replica();
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void aReleaseCountsForItsEpochOnlyHoweverOftenItComes() {
+  void repeatedReleaseCountsForItsEpochOnly() {
     Replica replica = replica();
     RoleUpdate.Release release = new RoleUpdate.Release(ROLE, 5, 12);
     replica.receive(release, 1);
@@ -143,9 +143,9 @@
     assertFalse(replica.released(0));
   }
 
-  /** Bytes and memory at the size of the largest fleets: 4,000 machines with 16 tasks each. */
+  /** Bounds bytes and memory for the largest fleets: 4,000 machines with 16 tasks each. */
   @Test
-  void aLogOfFourThousandMachinesIsBounded() {
+  void logAndSnapshotOfFourThousandMachinesAreBounded() {
     DecisionLog log = new DecisionLog(ROLE, 5, RoleState.EMPTY, 4_096);
     for (int machine = 0; machine < 4_000; machine++) {
       String name = String.format("n-%06d", machine);
@@ -154,13 +154,13 @@
       tasks.add(16L * machine, 16L * (machine + 1));
       log.append(new Decision.TasksLaunched(name, "run-000001", tasks, machine));
     }
-    assertEquals(4_096, log.kept());
+    assertEquals(4_096, log.tailSize());
     ReplicationStream stream = new ReplicationStream(log, "yurt-1");
     Replica replica = replica();
     long bytes = 0;
     int messages = 0;
     while (!stream.upToDate()) {
-      RoleUpdate update = stream.next(40 * 1024);
+      RoleUpdate update = stream.nextUpdate(40 * 1024);
       byte[] body = ReplicationCodec.encode(new ReplicationMessage("yurt-0", List.of(update)));
       assertTrue(body.length <= 64 * 1024, "a message of " + body.length + " bytes");
       bytes += body.length;
