--- a/src/main/java/org/baygw/control/store/Store.java
+++ b/src/main/java/org/baygw/control/store/Store.java
@@ -17,11 +17,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Client of the state service: the copy kept up by watches, conditional writes, and syncs that make
- * the copy current. Calls wait for tokens in the order of their urgency.
+ * Client of the state service: keeps the cache up to date by watches, sends conditional writes, and
+ * syncs the cache on demand. Calls wait for rate limit tokens in the order of their urgency.
  */
 public final class Store {
-  /** Urgency of a call, highest first. */
+  /** Urgency of a call, most urgent first. */
   public enum Urgency {
     HOLD,
     CANCEL,
@@ -31,15 +31,15 @@
     MOVE
   }
 
-  /** How a conditional write ended. */
+  /** Outcome of a conditional write. */
   public enum Outcome {
-    /** It is durable, and the view has it. */
+    /** The write is durable, and the cache has it. */
     OK,
-    /** A condition did not hold; nothing changed. */
+    /** A condition was not met; nothing was written. */
     CONFLICT,
-    /** Certainly not carried out. */
+    /** The write was certainly not carried out. */
     REFUSED,
-    /** No answer: it may be carried out now, later or never. */
+    /** No answer arrived: the write may be carried out now, later or never. */
     UNKNOWN
   }
 
@@ -62,10 +62,10 @@
   private long waitingSince;
   private List<Consumer<Boolean>> syncWaiters = new ArrayList<>();
 
-  /** When the copy was last made current. */
+  /** When an answer last brought the cache up to date. */
   private long lastCurrent = Long.MIN_VALUE / 2;
 
-  /** When the latest request was sent whose answer made the copy current. */
+  /** Send time of the latest request whose answer brought the cache up to date. */
   private long currentAsOf = Long.MIN_VALUE / 2;
 
   public Store(Clock clock, Outbox out, Settings s, StateCache view) {
@@ -84,25 +84,26 @@
             Math.round(1000 * all / (s.state().rps() * Constants.SYNC_SHARE)));
   }
 
-  /** True once the whole state has been read. */
+  /** Whether all keys have been read at least once. */
   public boolean loaded() {
     return loaded;
   }
 
-  /** When the latest request was sent that the state service has answered. */
+  /** Send time of the latest request that the state service answered, 429 and 5xx aside. */
   public long lastContact() {
     return queue.lastContact();
   }
 
   /**
-   * The copy has all that was durable at this time: the sending of a request whose answer made it
-   * current. An answer may have been held up, and an open watch that is silent proves nothing.
+   * The cache has everything that was durable at this time, which is the send time of a request
+   * whose answer brought the cache up to date. The arrival time is not used because an answer may
+   * have been delayed, and an open watch without events proves nothing.
    */
   public long currentAsOf() {
     return currentAsOf;
   }
 
-  /** How long conditional writes took, with their wait for tokens. */
+  /** Time that conditional writes took, in ms; includes the wait for tokens unless deferred. */
   public Histogram writeMs() {
     return writeMs;
   }
@@ -129,27 +130,28 @@
   }
 
   /**
-   * What this controller takes of the state service's limits: as much as each of the others, and
-   * some more where it has the leader.
+   * Sets this controller's share of the state service's rate limits: an even share, and an extra
+   * one while it is the leader.
    */
   public void share(boolean leadership) {
     queue.share(leadership);
   }
 
-  /** Whether writes are to be drawn together: tokens for them are running out. */
+  /** Whether write tokens are running low, so that callers should batch their writes. */
   public boolean scarce() {
     return queue.scarce();
   }
 
   /**
-   * Whether so much may have changed since the copy was current that reading all keys anew is less
-   * than reading all changes: an answer with a minute's changes takes longer than its call may.
+   * Whether so much may have changed since the last update of the cache that listing all keys is
+   * cheaper than reading all changes: an answer with the changes of a minute takes longer than the
+   * request's timeout.
    */
   private boolean behind() {
     return clock.now() - lastCurrent > Constants.BEHIND_MS;
   }
 
-  /** Sends a conditional write; it is refused if no token comes free within waitMs. */
+  /** Sends a conditional write; the outcome is REFUSED if no token is free within waitMs. */
   public void txn(Urgency u, Txn t, long waitMs, Consumer<Outcome> then) {
     long asked = clock.now();
     request(
@@ -167,7 +169,7 @@
     writeMs.recordValue(Math.min(clock.now() - asked, Constants.HISTOGRAM_MAX_MS));
     if (status == 200) {
       long rev = Json.parse(answer).path("ledgerRev").asLong();
-      // Our own change is known at once; the watch brings it again later, with the same stamp.
+      // Apply the write at once. The watch repeats it later with the same stamp, without effect.
       t.then.forEach(
           (k, c) -> {
             if (c.value() == null) {
@@ -184,25 +186,26 @@
       then.accept(Outcome.UNKNOWN);
     } else {
       if (status == 400) {
-        LOG.warn("the state service took a write for malformed: {}", new String(answer));
+        LOG.warn("the state service rejected a write as malformed: {}", new String(answer));
       }
       then.accept(Outcome.REFUSED);
     }
   }
 
   /**
-   * Sends a conditional write until it is certain how it ended. A write without an answer may still
-   * be carried out later, so its sender may not act as if it were not: it is sent again until it
-   * succeeds or fails for good, and after a failure the view is made current first.
+   * Sends a conditional write until its outcome is certain; the callback gets whether it succeeded.
+   * A write without an answer may still be carried out later, so its sender must not treat it as
+   * failed: it is sent again until it certainly succeeds or fails. After a conflict the cache is
+   * brought up to date before the callback runs.
    */
   public void settle(Urgency u, Txn t, long waitMs, Consumer<Boolean> then) {
     settle(u, t, waitMs, false, then);
   }
 
   /**
-   * Like the other, but the write is made up only when tokens for it are there, so that all that
-   * came up while it waited goes into the one write. Null means that there is nothing to write any
-   * more.
+   * As above, but the write is built only when tokens for it are available, so that it includes all
+   * changes that came up during the wait. The builder returns null if nothing is left to write; the
+   * callback then gets false.
    */
   public void settle(Urgency u, Supplier<Txn> late, Consumer<Boolean> then) {
     queue.addLate(u, late, t -> sendLate(u, t, then), (status, body) -> then.accept(false));
@@ -252,7 +255,7 @@
         });
   }
 
-  /** Any other call; status NOT_SENT where no token came free in time. */
+  /** Sends any other request; the status is NOT_SENT if no token is free within waitMs. */
   public void request(
       Urgency u,
       String method,
@@ -266,14 +269,15 @@
   }
 
   /**
-   * Runs the action once the view holds all that was durable when this was called, or has failed.
+   * Calls back with true once the cache has everything that was durable at the time of this call,
+   * or with false if it could not be updated.
    */
   public void current(Consumer<Boolean> then) {
     waitingSince = syncWaiters.isEmpty() ? clock.now() : waitingSince;
     syncWaiters.add(then);
   }
 
-  /** Asks for a sync soon, with nobody waiting for it. */
+  /** Requests an update of the cache without waiting for it. */
   public void refresh() {
     if (syncWaiters.isEmpty()) {
       current(ok -> {});
@@ -310,7 +314,7 @@
             list(last, rev, begun, seen);
             return;
           }
-          // After a gap in the watch: what is no longer listed was deleted meanwhile.
+          // A known key that is not listed was deleted during a gap in the watch.
           for (String key : view.keys()) {
             if (!seen.contains(key) && view.stamp(key) <= rev) {
               view.delete(key, rev);
@@ -335,7 +339,7 @@
     return waiters;
   }
 
-  /** Opens a watch; where someone waits for the copy it answers at once, so no sync is needed. */
+  /** Opens a watch; it is answered at once if callers wait for the cache, instead of a sync. */
   private void watch() {
     if (!queue.takeToken()) {
       return;
@@ -350,7 +354,7 @@
         });
   }
 
-  /** Asks for what has changed beside a watch that has nothing to tell. */
+  /** Requests the latest changes while an open watch has no events. */
   private void sync() {
     if (!queue.takeToken()) {
       return;
@@ -382,7 +386,7 @@
 
   private boolean events(long sent, int status, byte[] answer) {
     if (status == 410) {
-      lastCurrent = Long.MIN_VALUE / 2; // too far behind: everything is read again
+      lastCurrent = Long.MIN_VALUE / 2; // the service no longer has these changes: list all keys
       return false;
     }
     JsonNode n = status == 200 ? Json.parse(answer) : null;
@@ -392,7 +396,7 @@
     for (JsonNode e : n.path("events")) {
       long stamp = e.path("stamp").asLong();
       if (stamp <= view.revision()) {
-        continue; // an overtaken answer
+        continue; // applied already by a later answer
       }
       if (e.has("write")) {
         view.put(e.path("write").asText(), e.path("value"), stamp);
