--- a/src/main/java/org/baygw/control/store/RequestQueue.java
+++ b/src/main/java/org/baygw/control/store/RequestQueue.java
@@ -16,21 +16,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Requests to the state service. They wait for this controller's share of the service's limits, in
- * the order of their urgency; the less urgent never takes what the more urgent waits for.
+ * Queue of requests to the state service. Requests wait for tokens from this controller's share of
+ * the service's rate limits, in the order of their urgency; a request never takes tokens that a
+ * more urgent one waits for.
  */
 final class RequestQueue {
   private static final Logger LOG = LoggerFactory.getLogger(RequestQueue.class);
   private static final byte[] NO_BODY = new byte[0];
 
-  /** A request that waits for tokens. */
+  /** A request waiting for tokens. */
   private sealed interface Waiting {
     long deadline();
 
     Outbox.Callback then();
   }
 
-  /** A request that is made up already, with the changes that it counts as. */
+  /** A complete request, with the number of writes that it counts as. */
   private record Ready(
       String method,
       String path,
@@ -41,7 +42,7 @@
       Outbox.Callback then)
       implements Waiting {}
 
-  /** A write that is made up when tokens for it are there. */
+  /** A write that is built only when tokens for it are available. */
   private record Late(
       Supplier<Txn> maker, Consumer<Txn> sender, long deadline, Outbox.Callback then)
       implements Waiting {}
@@ -64,12 +65,12 @@
     share(false);
   }
 
-  /** When the latest request was sent that the state service has answered. */
+  /** Send time of the latest request that the state service answered, 429 and 5xx aside. */
   long lastContact() {
     return lastContact;
   }
 
-  /** Takes an even share of the service's limits, and some more where this controller leads. */
+  /** Takes an even share of the service's rate limits, and an extra one if this is the leader. */
   void share(boolean leads) {
     double shares = settings.peers().size() + 1 + Constants.LEADER_SHARES;
     double own = (1.0 + (leads ? Constants.LEADER_SHARES : 0)) / shares;
@@ -80,17 +81,17 @@
     changes.rate(changesPerS, changesPerS);
   }
 
-  /** Whether tokens for changes are running out. */
+  /** Whether write tokens are running low. */
   boolean scarce() {
     return changes.fullness(clock.now()) < Constants.SCARCE;
   }
 
-  /** Takes a token for a request that is sent at once, if there is one. */
+  /** Takes a token, if one is available, for a request that the caller sends at once. */
   boolean takeToken() {
     return requests.take(clock.now(), 1);
   }
 
-  /** Queues a request; its outcome is NOT_SENT where no token comes free in time. */
+  /** Queues a request; its status is NOT_SENT if no token is free within waitMs. */
   void add(
       Store.Urgency urgency,
       String method,
@@ -105,7 +106,7 @@
     pump();
   }
 
-  /** Queues a write that is made up when tokens are there; null means that there is none. */
+  /** Queues a write that is built when tokens are available; null means nothing to write. */
   void addLate(
       Store.Urgency urgency, Supplier<Txn> maker, Consumer<Txn> sender, Outbox.Callback then) {
     queue(urgency).add(new Late(maker, sender, clock.now() + Constants.LATE_WAIT_MS, then));
@@ -116,11 +117,11 @@
     return queues.get(urgency.ordinal());
   }
 
-  /** Sends what there are tokens for. */
+  /** Sends queued requests, most urgent first, as long as there are tokens. */
   void pump() {
     for (Deque<Waiting> queue : queues) {
       while (!queue.isEmpty() && serve(queue)) {
-        // The next one of the same urgency.
+        // Continue with the next request of the same urgency.
       }
       if (!queue.isEmpty()) {
         return;
@@ -128,7 +129,7 @@
     }
   }
 
-  /** Serves the first of a queue; false where it goes on waiting. */
+  /** Sends or expires the first request of a queue; false if it keeps waiting for tokens. */
   private boolean serve(Deque<Waiting> queue) {
     long now = clock.now();
     Waiting first = queue.peek();
@@ -165,12 +166,12 @@
     }
   }
 
-  /** A fault in making a write up must not keep its maker waiting for ever. */
+  /** Builds the write; null on an exception too, so that the callback still runs. */
   private static Txn made(Late late) {
     try {
       return late.maker().get();
     } catch (RuntimeException e) {
-      LOG.error("a write could not be made up", e);
+      LOG.error("failed to build a deferred write", e);
       return null;
     }
   }
@@ -194,8 +195,8 @@
             requests.rest(clock.now(), Constants.BUCKET_REST_MS);
             changes.rest(clock.now(), Constants.BUCKET_REST_MS);
           } else if (status > 0 && status < 500) {
-            // Not the time of the answer: a process that stood still takes old answers in when it
-            // wakes, and would think itself in touch in an outage that began meanwhile.
+            // Not the arrival time: a process that was suspended reads old answers when it resumes,
+            // and would consider itself connected during an outage that began meanwhile.
             lastContact = Math.max(lastContact, sent);
           }
           then.done(status, answer);
