--- a/src/main/java/org/baygw/control/store/StateCache.java
+++ b/src/main/java/org/baygw/control/store/StateCache.java
@@ -27,35 +27,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's copy of the state service, parsed, with the indexes the slices need. An entry
- * changes only to a newer stamp, so late and repeated answers do no harm. What a change costs goes
- * with what it changed, not with the size of the record or of the whole.
+ * Parsed cache of the state service's keys, with the indexes that the other packages need. An entry
+ * is replaced only by one with a newer stamp, so late and repeated answers do no harm. The cost of
+ * applying a change depends on what changed, not on the size of the record or of the cache.
  */
 public final class StateCache {
-  /** A record with the revision of its last change. */
+  /** A value with its stamp, the revision of its key's last change. */
   public record Entry<T>(T value, long stamp) {}
 
-  /** Who holds a claim. */
+  /** Owner of a claim, and the lease that the claim's key is attached to. */
   public record Claim(String owner, long hold) {}
 
   /**
-   * A live controller; one that does not reach its workers leaves the partitions to others, and one
-   * that is leaving leaves all roles to them.
+   * A live controller. One that cannot reach its workers leaves the partitions to the others; one
+   * that is leaving hands all its roles over to them.
    */
   public record Member(String zone, long hold, boolean reaches, boolean leaving) {}
 
-  /** A machine on its way out. */
+  /** State of a machine that is being drained. */
   public enum Drain {
-    /** Given up: it is returned whatever is on it. */
+    /** The machine was given up: it is returned even with tasks on it. */
     GIVEN_UP,
-    /** Not needed: it is returned if nothing came to it meanwhile. */
+    /** The machine is not needed: it is returned unless it was given tasks meanwhile. */
     IDLE,
-    /** The cloud has taken it back. */
+    /** The cloud has taken the machine back. */
     GONE
   }
 
   /**
-   * Tasks of one job that ended in one partition, as a page of that partition's record has them.
+   * Ended tasks of one job on one page of a partition's record: completed tasks, and for the others
+   * the attempt that ended.
    */
   private record Ended(BitSet done, Map<Integer, Integer> back) {}
 
@@ -66,15 +67,15 @@
   private long revision;
   private long changes;
 
-  /** Changes of claims and members. */
+  /** Number of changes of claims and members. */
   private long ownershipChanges;
 
   public final Map<String, Entry<Job>> jobs = new HashMap<>();
 
-  /** Jobs that are open or have progress left; the others only need their final state. */
+  /** Jobs that are open or still have progress keys; only the state of the others is needed. */
   public final Map<String, Entry<Job>> active = new LinkedHashMap<>();
 
-  /** How far jobs are, with what has ended in the partitions' records taken in. */
+  /** Progress by job and chunk, including the ended tasks in the partitions' records. */
   public final Map<String, TreeMap<Integer, Entry<Progress>>> progress = new HashMap<>();
 
   public final Map<String, Entry<Machine>> machines = new HashMap<>();
@@ -86,54 +87,51 @@
   public List<MachineType> types = List.of();
   public SchedulingParameters params = SchedulingParameters.DEFAULTS;
 
-  /** The machines that may have a task. More than one only while something is wrong. */
+  /** Machines that may have each task; more than one only in case of a fault. */
   public final Map<TaskId, Set<String>> places = new HashMap<>();
 
-  /** Parts a zone has; 0 until that is durable. */
+  /** Partitions per zone; 0 until the number is durable. */
   private int partitionsPerZone;
 
-  /** Progress as it is written, without what stands in the partitions' records only. */
+  /** Progress as stored, by key, without the ended tasks in the partitions' records. */
   private final Map<String, Progress> written = new HashMap<>();
 
   private final Map<Partition, Set<String>> machinesOf = new HashMap<>();
   private final PartitionPages pages = new PartitionPages();
   private final Map<String, Map<TaskId, Integer>> on = new HashMap<>();
 
-  /** By job and page of a partition's record. */
+  /** Ended tasks, by job and key of the page of a partition's record. */
   private final Map<String, Map<String, Ended>> ended = new HashMap<>();
 
   private final Map<Partition, Map<String, Drain>> drainsOf = new HashMap<>();
 
-  /** Granted tasks of a partition that are on no machine. */
+  /** Tasks granted to each partition that are on no machine. */
   private final Map<Partition, Set<TaskId>> unplaced = new HashMap<>();
 
-  /** Granted tasks of a partition, counted. */
+  /** Number of tasks granted to each partition. */
   private final Map<Partition, Integer> granted = new HashMap<>();
 
   private Set<String> changedMachines = new LinkedHashSet<>();
 
-  /** Jobs that this copy has as cancelled, by the revision at which they became so. */
+  /** Jobs that are cancelled in this cache, by the revision of their cancellation. */
   private final TreeMap<Long, Set<String>> cancelled = new TreeMap<>();
 
-  /**
-   * A cancellation as a sibling told of it: its revision and the time of day at which it was
-   * written.
-   */
+  /** A cancellation reported by a peer: its revision, and the time of day when it was written. */
   private record Told(long stamp, long cancelledMs) {}
 
-  /** Cancellations that a sibling has made durable and this copy has not reached. */
+  /** Durable cancellations reported by peers, of revisions that this cache has not reached. */
   private final Map<String, Told> toldCancelled = new HashMap<>();
 
   public long revision() {
     return revision;
   }
 
-  /** Grows with every change, so that a pass over unchanged data can be left out. */
+  /** Increases with every change, so that callers can skip a pass over unchanged data. */
   public long changes() {
     return changes;
   }
 
-  /** Grows with every change of a claim or a member. */
+  /** Increases with every change of a claim or a member. */
   public long ownershipChanges() {
     return ownershipChanges;
   }
@@ -161,14 +159,18 @@
     return e == null ? null : e.value();
   }
 
-  /** Progress as its key has it, or null: what is in it is needed in no partition's record. */
+  /**
+   * Progress as its key stores it. Null if there is no such key; then the partitions' records need
+   * not keep the chunk's ended tasks either.
+   */
   public Progress written(String job, int chunk) {
     return written.get(Keys.progress(job, chunk));
   }
 
   /**
-   * Whether a job's tasks are to run: it is open, and no sibling told of its cancellation. That is
-   * final once durable, so it is acted on early; users are answered by the job's key alone.
+   * Whether a job's tasks should run: the job is open, and no peer has reported its cancellation. A
+   * durable cancellation is final, so it takes effect before this cache has reached it; answers to
+   * users depend on the job's key alone.
    */
   public boolean runs(String job) {
     Entry<Job> j = jobs.get(job);
@@ -187,7 +189,7 @@
     return told != null ? told.cancelledMs() : j == null ? 0 : j.value().cancelledMs();
   }
 
-  /** A sibling told of a cancellation that became durable at this revision. */
+  /** Takes in a cancellation that became durable at the revision, as reported by a peer. */
   public void toldCancelled(String job, long stamp, long cancelledMs) {
     if (stamp > revision && toldCancelled.putIfAbsent(job, new Told(stamp, cancelledMs)) == null) {
       changes++;
@@ -195,7 +197,7 @@
     }
   }
 
-  /** The cancelled jobs of this copy beyond a revision, each with its own. */
+  /** Jobs in this cache that were cancelled after a revision, by revision of the cancellation. */
   public SortedMap<Long, Set<String>> cancelledAfter(long rev) {
     return cancelled.tailMap(rev, false);
   }
@@ -208,7 +210,7 @@
     }
   }
 
-  /** The partitions' records. */
+  /** Pages of the partitions' records. */
   public PartitionPages pages() {
     return pages;
   }
@@ -217,12 +219,12 @@
     return pages.find(p, r -> r.conditions().get(machine));
   }
 
-  /** The names of a partition's machines. */
+  /** Names of a partition's machines. */
   public Set<String> machinesOf(Partition p) {
     return machinesOf.getOrDefault(p, Set.of());
   }
 
-  /** The tasks a partition's record has on a machine. */
+  /** Tasks on a machine by its partition's record, with their attempts. */
   public Map<TaskId, Integer> on(String machine) {
     return on.getOrDefault(machine, Map.of());
   }
@@ -235,7 +237,7 @@
     return unplaced.getOrDefault(p, Set.of());
   }
 
-  /** Tasks of a job that are done, whether its progress has that yet or not. */
+  /** Number of a job's completed tasks, including those not yet in its stored progress. */
   public int done(String job) {
     int n = 0;
     for (Entry<Progress> p : progress.getOrDefault(job, NO_CHUNKS).values()) {
@@ -246,7 +248,7 @@
 
   private static final TreeMap<Integer, Entry<Progress>> NO_CHUNKS = new TreeMap<>();
 
-  /** Machines to look at since the last call: their records changed, or a task there is to stop. */
+  /** Takes the machines that changed, or have a task to be stopped, since the last call. */
   public Set<String> takeChangedMachines() {
     Set<String> out = changedMachines;
     changedMachines = new LinkedHashSet<>();
@@ -268,13 +270,13 @@
     }
   }
 
-  /** The task's grant, or null. */
+  /** Grant of the task, or null. */
   public Progress.Live grant(TaskId t) {
     Progress p = progress(t.job(), t.index() / Constants.CHUNK_TASKS);
     return p == null ? null : p.live.get(t.index());
   }
 
-  /** Everything up to this revision has been applied. */
+  /** Notes that all changes up to the revision have been applied. */
   void reached(long rev) {
     if (rev > revision) {
       revision = rev;
@@ -296,9 +298,9 @@
     try {
       apply(key, value, stamp);
     } catch (RuntimeException e) {
-      // A value that someone else wrote must not end the controller; its stamp is kept all the
-      // same.
-      LOG.error("skipped the value of {}: {}", key, e.toString());
+      // A malformed value written by another process must not stop the controller. Its stamp is
+      // kept nevertheless.
+      LOG.error("failed to apply the value of {}: {}", key, e.toString());
     }
   }
 
@@ -413,7 +415,7 @@
     }
   }
 
-  /** The machines of a partition that are on their way out. */
+  /** Machines of a partition that are being drained. */
   public Map<String, Drain> drains(Partition p) {
     return drainsOf.getOrDefault(p, Map.of());
   }
@@ -464,7 +466,7 @@
     PartitionRecord old = pages.put(part, page, next);
     for (String machine : old.on().keySet()) {
       if (!next.on().containsKey(machine)) {
-        // Where the record was given more pages the machine may stand on another one now.
+        // The machine may be on another page now, if the record was split into more pages.
         tasksChanged(machine, PartitionRecord.tasks(pages.find(part, r -> r.on().get(machine))));
       }
     }
@@ -580,7 +582,7 @@
     changedMachines.add(machine);
   }
 
-  /** A machine fetches the image of what is put on it. */
+  /** Adds the images of the tasks, since a machine fetches the image of each task it is given. */
   private Machine withImages(Machine m, Set<TaskId> tasks) {
     Machine next = m;
     for (TaskId t : tasks) {
