--- a/src/main/java/org/baygw/control/store/Keys.java
+++ b/src/main/java/org/baygw/control/store/Keys.java
@@ -9,7 +9,7 @@
   public static final String PARAMS = ROOT + "params";
   public static final String LEADER = "leader";
 
-  /** How many partitions a zone has; written once. */
+  /** Number of partitions per zone; written once. */
   public static final String LAYOUT = ROOT + "layout";
 
   public static String job(String id) {
@@ -24,7 +24,7 @@
     return ROOT + "machine/" + name;
   }
 
-  /** A page of a partition's record: the tasks on its machines. */
+  /** Page of a partition's record, which has the tasks on the partition's machines. */
   public static String record(Partition part, int page) {
     return ROOT + "run/" + part + (page == 0 ? "" : "/" + page);
   }
@@ -41,12 +41,12 @@
     return ROOT + "rent/" + booking;
   }
 
-  /** The machines of a partition that are on their way out. */
+  /** Machines of a partition that are being drained. */
   public static String drain(Partition part) {
     return ROOT + "drain/" + part;
   }
 
-  /** An operator wants the machine emptied and returned. */
+  /** Marks a machine that an operator wants emptied and returned. */
   public static String cordon(String machine) {
     return ROOT + "cordon/" + machine;
   }
--- a/src/main/java/org/baygw/control/store/PartitionPages.java
+++ b/src/main/java/org/baygw/control/store/PartitionPages.java
@@ -7,9 +7,9 @@
 import org.baygw.control.model.Partition;
 import org.baygw.control.model.PartitionRecord;
 
-/** The pages of all partitions' records in this controller's copy, with their sizes. */
+/** Cached pages of all partitions' records, with their sizes. */
 public final class PartitionPages {
-  /** A page with the bytes that its two halves take. */
+  /** A page with the estimated sizes of its assignments and of its ended tasks. */
   private record Page(PartitionRecord record, int onBytes, int endedBytes) {
     private static final Page EMPTY = of(PartitionRecord.EMPTY);
 
@@ -22,28 +22,28 @@
 
   private final Map<Partition, TreeMap<Integer, Page>> pages = new HashMap<>();
 
-  /** How many pages a partition's record has. */
+  /** Number of pages of a partition's record. */
   public int count(Partition part) {
     return get(part, 0).pages();
   }
 
-  /** A page of a partition's record, empty where it is not there. */
+  /** Page of a partition's record; empty if it does not exist. */
   public PartitionRecord get(Partition part, int page) {
     return page(part, page).record();
   }
 
-  /** About how many bytes a page takes. */
+  /** Estimated size of a page. */
   public int bytes(Partition part, int page) {
     Page found = page(part, page);
     return found.onBytes() + found.endedBytes();
   }
 
-  /** About how many bytes of a page are what machines have to do. */
+  /** Estimated size of the machines' tasks and conditions on a page. */
   public int onBytes(Partition part, int page) {
     return page(part, page).onBytes();
   }
 
-  /** About how many bytes of a page are tasks that have ended. */
+  /** Estimated size of the ended tasks on a page. */
   public int endedBytes(Partition part, int page) {
     return page(part, page).endedBytes();
   }
@@ -52,15 +52,15 @@
     return pages.getOrDefault(part, NONE).getOrDefault(page, Page.EMPTY);
   }
 
-  /** Puts a page in the place of the one that it returns. */
+  /** Replaces a page and returns the former one. */
   PartitionRecord put(Partition part, int page, PartitionRecord next) {
     Page old = pages.computeIfAbsent(part, k -> new TreeMap<>()).put(page, Page.of(next));
     return old == null ? PartitionRecord.EMPTY : old.record();
   }
 
   /**
-   * What any page of a partition's record has, or null; a machine stands on one page only, but for
-   * the middle of reading all keys anew.
+   * First result from the pages of a partition's record that is not null, or null. A machine is on
+   * one page only, except while all keys are being listed again.
    */
   String find(Partition part, Function<PartitionRecord, String> what) {
     for (Page page : pages.getOrDefault(part, NONE).values()) {
--- a/src/main/java/org/baygw/control/store/Txn.java
+++ b/src/main/java/org/baygw/control/store/Txn.java
@@ -9,7 +9,7 @@
 
 /** A conditional write under construction. */
 public final class Txn {
-  /** A put, or a delete where the value is null; hold 0 means none. */
+  /** A put, attached to a lease unless the lease is 0, or a delete if the value is null. */
   record Change(JsonNode value, long hold) {}
 
   private final Map<String, Long> when = new LinkedHashMap<>();
@@ -35,7 +35,7 @@
     return this;
   }
 
-  /** The keys that would change. */
+  /** Keys that the write puts or deletes. */
   public java.util.Set<String> then() {
     return then.keySet();
   }
