--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -1,6 +1,6 @@
 package org.baygw.control;
 
-/** Every fixed number of the service, each with its unit and its reason. */
+/** Fixed numbers of the service, each with its unit and, where needed, its reason. */
 public final class Constants {
   /**
    * Parts of all zones for each controller of a new deployment: with two, the loss of a controller
@@ -8,7 +8,7 @@
    */
   public static final double PARTS_PER_CONTROLLER = 2;
 
-  /** Tasks per progress key. 128 live tasks take about 3 KiB, well inside an 8 KiB value. */
+  /** Tasks per progress key: 128 live tasks take about 3 KiB, well below the 8 KiB of a value. */
   public static final int CHUNK_TASKS = 128;
 
   /** Most tasks recorded on one machine: a page has room for several such machines in 8 KiB. */
@@ -82,23 +82,24 @@
    */
   public static final int DELETES_PER_WRITE = 6;
 
-  /** Bytes that a machine takes of its partition's list of leaving machines, with some to spare. */
+  /** Bytes per machine in a partition's list of draining machines, with some to spare. */
   public static final int DRAIN_ENTRY_BYTES = 40;
 
   /** Images remembered for a machine: about as many as its cache holds. */
   public static final int MACHINE_IMAGES = 20;
 
-  /** ms. The core's clock step where the processor allows it: fine against second-long aims. */
+  /** Shortest interval between clock steps of the core: short against objectives of seconds. */
   public static final long TICK_MS = 50;
 
-  /** ms of a whole core that a step with nothing to do takes, with its wake-up. */
+  /** Time that a clock step without work takes on a whole core, including its wake-up. */
   public static final double TICK_COST_MS = 0.3;
 
-  /** Share of the processor for steps that nothing but the clock calls for. */
+  /** Share of the processor for steps that only the clock triggers. */
   public static final double TICK_SHARE = 0.06;
 
   /**
-   * ms. The longest clock step, however slow the processor: renewals and looks must not be late.
+   * Longest interval between clock steps, however slow the processor: lease renewals and checks
+   * must not be late.
    */
   public static final long TICK_MOST_MS = 150;
 
@@ -111,9 +112,7 @@
    */
   public static final long HANDOVER_FLUSH_MS = 1_500;
 
-  /**
-   * ms that the end of the process waits for a planned handover: some writes, each with a retry.
-   */
+  /** Longest wait for a planned handover at shutdown: a few writes, each with a retry. */
   public static final long HANDOVER_MOST_MS = 8_000;
 
   /** Bytes of updates in one message to a standby: it fits into a body with all that is around. */
@@ -174,15 +173,16 @@
   public static final int CANCELLATIONS_TOLD = 1_000;
 
   /**
-   * ms taken off the time that a lease leaves of a cancellation's: a worker ends its session at the
-   * next step of its clock, and this controller's clock counts whole milliseconds.
+   * Margin subtracted from the part of the cancellation time limit that a lease leaves: a worker
+   * ends its session at the next step of its clock, and this controller's clock counts whole
+   * milliseconds.
    */
   public static final long CANCEL_MARGIN_MS = 500;
 
-  /** Tries to learn of cancellations within the time for which that knowledge is recent. */
+  /** Attempts to learn of cancellations within the greatest age of the watermark. */
   public static final int WATERMARK_TRIES = 4;
 
-  /** ms at least between two of them, however short that time is. */
+  /** Shortest interval between two such attempts, however low the greatest age is. */
   public static final long WATERMARK_PERIOD_MIN_MS = 250;
 
   /**
@@ -191,77 +191,87 @@
    */
   public static final long WATERMARK_TIGHT_MS = 8_000;
 
-  /** Significant digits of histograms: 1% is enough for latencies and keeps them small. */
+  /** Significant digits of histograms: 1% is precise enough for latencies and saves memory. */
   public static final int HISTOGRAM_DIGITS = 2;
 
-  /** ms. Highest value a histogram holds: an hour. */
+  /** Highest value in a histogram: an hour. */
   public static final long HISTOGRAM_MAX_MS = 3_600_000;
 
   /**
-   * ms a watch stays open at the state service; also bounds how long a dead connection is unseen.
+   * Time that a watch stays open at the state service; it also limits how long a dead connection
+   * goes unnoticed.
    */
   public static final long WATCH_WAIT_MS = 4_000;
 
   /**
-   * ms without an answered watch or sync after which all keys are read instead of all changes:
-   * longer than a watch with nothing to tell stays open, and twice its time to be given up.
+   * Time without an answered watch or sync after which all keys are listed instead of reading all
+   * changes: a watch without events stays open for WATCH_WAIT_MS, and times out after twice
+   * STATE_TIMEOUT_MS more.
    */
   public static final long BEHIND_MS = 7_000;
 
-  /** ms at least between the openings of two watches: each counts as a request. */
+  /** Shortest interval between the openings of two watches: each counts as a request. */
   public static final long WATCH_GAP_MS = 80;
 
-  /** Share of the state service's requests that all controllers' watches take. */
+  /** Share of the state service's request limit for the watches of all controllers. */
   public static final double WATCH_SHARE = 0.3;
 
   /**
-   * ms that who needs a current copy waits for the next watch: while much changes one is opened
-   * sooner than that, and a sync beside it would bring every change a second time.
+   * Time that a caller who needs an up-to-date cache waits for the next watch before a sync is
+   * sent: under many changes a watch is opened sooner than that, and a concurrent sync would
+   * transfer every change twice.
    */
   public static final long SYNC_WAIT_MS = 100;
 
-  /** ms at least between two syncs for users' polls; polls in between share one. */
+  /** Shortest interval between two syncs for users' polls; polls in between share one. */
   public static final long SYNC_GAP_MS = 40;
 
-  /** Share of the state service's requests that all controllers' syncs take. */
+  /** Share of the state service's request limit for the syncs of all controllers. */
   public static final double SYNC_SHARE = 0.3;
 
-  /** ms for an ordinary state call: its answers take 10 ms, now and then a few hundred. */
+  /** Timeout of an ordinary state service call: it takes 10 ms, occasionally a few hundred. */
   public static final int STATE_TIMEOUT_MS = 1_500;
 
-  /** ms before a failed state call is tried again: no busy loop in an outage, back soon after. */
+  /**
+   * Wait before a failed state service call is retried: no busy loop in an outage, and quick
+   * recovery after it.
+   */
   public static final long STATE_RETRY_MS = 250;
 
-  /** Shares of the state service's limits that the leader's controller takes beside its own one. */
+  /** Extra shares of the state service's rate limits that the leader takes beside its own one. */
   public static final double LEADER_SHARES = 1;
 
   /**
-   * Times the limit that all shares add up to: seldom do all controllers write at the same time.
+   * Sum of all controllers' shares relative to the rate limit: all controllers rarely write at the
+   * same time.
    */
   public static final double STATE_OVERBOOK = 1.3;
 
-  /** Most of the limits that one controller takes, however few there are. */
+  /** Largest share of the rate limits for one controller, however few controllers there are. */
   public static final double STATE_SHARE_MAX = 0.9;
 
-  /** Share of its burst of writes below which a controller draws writes together. */
+  /** Share of the burst of write tokens below which a controller batches its writes. */
   public static final double SCARCE = 0.5;
 
-  /** ms a write that is made up late waits for tokens before its maker is asked anew. */
+  /** Time that a deferred write waits for tokens before it fails and its sender may try again. */
   public static final long LATE_WAIT_MS = 5_000;
 
-  /** ms a bucket rests after a 429. */
+  /** Pause of the state service's token buckets after a 429 or 503. */
   public static final long BUCKET_REST_MS = 200;
 
-  /** ms a submission may wait for tokens and its write before it is refused; users wait 5 s. */
+  /**
+   * Time that a submission or another write for a user waits for tokens before it is refused; users
+   * wait 5 s.
+   */
   public static final long SUBMIT_WAIT_MS = 1_500;
 
-  /** s. Retry-After of a submission or poll that could not be taken: an outage lasts seconds. */
+  /** Retry-After of a submission or poll that could not be served: an outage lasts seconds. */
   public static final int RETRY_AFTER_S = 1;
 
-  /** Entries waiting for users at once; above it submissions get 429. */
+  /** Submissions that may wait for their writes at once; further ones get 429. */
   public static final int MAX_WAITING = 400;
 
-  /** Bytes of a request body (protocol). */
+  /** Size limit of a request body (protocol). */
   public static final int MAX_BODY = 64 * 1024;
 
   /** ms for a worker's answer to direct orders; the rest comes by its reports. */
@@ -270,7 +280,7 @@
   /** Token bits below the claim's stamp: raises within one claim. */
   public static final int TOKEN_BITS = 20;
 
-  /** Clock drift of two machines together, relative: 0.05% each (protocol), doubled for safety. */
+  /** Relative drift between two machines' clocks: 0.05% each (protocol), doubled for safety. */
   public static final double DRIFT = 0.002;
 
   /** ms added to a lease before it is held to have run out. */
@@ -345,28 +355,32 @@
   public static final int SHOW_TIMEOUT_MS = 1_500;
 
   /**
-   * ms without a tick that show that this controller itself fell behind, so that silence proves
-   * nothing.
+   * Time without a clock step that shows that this controller itself was stalled, so that the
+   * silence of others proves nothing.
    */
   public static final long STALL_MS = 400;
 
-  /** Share of a zone's machines silent at once that points at the network, not at them. */
+  /** Share of a zone's machines silent at once above which a network outage is assumed. */
   public static final double SILENT_SHARE_MAX = 0.4;
 
-  /** Report periods a silent machine is kept in any case, to see whether others fall silent too. */
+  /** Report periods for which a silent machine is always kept, to see if others go silent too. */
   public static final double SILENT_REPORTS = 0.5;
 
   /**
-   * Report periods for which machines silent at the end of such a cut are kept: they look for a
-   * node.
+   * Report periods for which silent machines are kept after a network outage: their workers first
+   * try the controllers one after the other.
    */
   public static final double SILENT_AFTER_CUT = 2;
 
-  /** ms for which so many silent machines are kept: a cut ends, and new machines take a boot. */
+  /**
+   * Time for which silent machines are kept during a network outage: it will end, and replacements
+   * first have to boot.
+   */
   public static final long SILENT_KEEP_MS = 60_000;
 
   /**
-   * Share of the time for a cancellation after which a silent machine with cancelled tasks goes.
+   * Share of the cancellation time limit for which a silent machine with cancelled tasks is kept
+   * during a network outage.
    */
   public static final double CANCEL_SHARE = 0.4;
 
@@ -448,45 +462,46 @@
   /** ms. Longest wait of a job that keeps failing. */
   public static final long ERROR_BACKOFF_MAX_MS = 60_000;
 
-  /** Times the list's lag for which a machine that was rented may be missing from it. */
+  /** Multiple of the machine list's lag for which a rented machine may be missing from it. */
   public static final double LIST_LAGS = 4;
 
-  /** ms between two looks at what is to be rented or returned: a boot takes seconds. */
+  /** Interval between checks for machines to rent or return: a boot takes seconds. */
   public static final long FLEET_PLAN_MS = 250;
 
-  /** ms between listings of the cloud's machines. */
+  /** Interval between listings of the cloud's machines. */
   public static final long LIST_MS = 2_500;
 
-  /** ms between readings of the machine types, for spot prices. */
+  /** Interval between reads of the machine types, to follow spot prices. */
   public static final long TYPES_MS = 60_000;
 
-  /** ms for a cloud call: they take 200 ms. */
+  /** Timeout of a cloud call; calls take 200 ms. */
   public static final int CLOUD_TIMEOUT_MS = 4_000;
 
-  /** ms a cloud that failed or refused is left alone. */
+  /** Wait before the next call to the cloud after a failure or refusal. */
   public static final long CLOUD_RETRY_MS = 1_000;
 
-  /** ms a kind of machine is not asked for after "no capacity". */
+  /** Time for which a kind of machine is not requested after a "no capacity" answer. */
   public static final long NO_CAPACITY_MS = 8_000;
 
   /**
-   * Times the nominal boot time after which a machine is late: usually it takes 1.5 at the most.
+   * Multiple of the nominal boot time after which a machine is late: a boot usually takes at most
+   * 1.5 times as long.
    */
   public static final double BOOT_LATE = 1.6;
 
-  /** Late machines of a type, none overtaken by a newer one, that show that the cloud is slow. */
+  /** Late machines of a type, not overtaken by newer ones, at which the cloud counts as slow. */
   public static final int BOOT_LATE_MANY = 4;
 
-  /** Times the nominal boot time after which a machine is given up where the cloud is slow. */
+  /** Multiple of the nominal boot time after which a machine is given up if the cloud is slow. */
   public static final double BOOT_GIVE_UP_SLOW = 8.0;
 
-  /** Times the nominal boot time after which a machine is given up. */
+  /** Multiple of the nominal boot time after which a machine is given up. */
   public static final double BOOT_GIVE_UP = 3.0;
 
-  /** Boot times an empty machine is kept: what it saves is the wait for another to boot. */
+  /** Boot times for which an empty machine is kept: this saves the wait for another to boot. */
   public static final double IDLE_BOOTS = 0.7;
 
-  /** Boot times that array work waits for spot machines before ordinary ones are rented for it. */
+  /** Boot times for which array jobs wait for spot machines before on-demand ones are rented. */
   public static final double DEARER_BOOTS = 0.4;
 
   /** Machines per rental request (protocol). */
