--- a/src/main/java/org/baygw/control/store/StateCache.java
+++ b/src/main/java/org/baygw/control/store/StateCache.java
@@ -189,7 +189,7 @@
     return told != null ? told.cancelledMs() : j == null ? 0 : j.value().cancelledMs();
   }
 
-  /** Takes in a cancellation that became durable at the revision, as reported by a peer. */
+  /** Adds a cancellation that a peer reported, which became durable at the revision. */
   public void toldCancelled(String job, long stamp, long cancelledMs) {
     if (stamp > revision && toldCancelled.putIfAbsent(job, new Told(stamp, cancelledMs)) == null) {
       changes++;
@@ -248,7 +248,7 @@
 
   private static final TreeMap<Integer, Entry<Progress>> NO_CHUNKS = new TreeMap<>();
 
-  /** Takes the machines that changed, or have a task to be stopped, since the last call. */
+  /** Takes the machines to check since the last call: those changed or with a task to stop. */
   public Set<String> takeChangedMachines() {
     Set<String> out = changedMachines;
     changedMachines = new LinkedHashSet<>();
