--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -95,13 +95,13 @@
   public static final double TICK_COST_MS = 0.3;
 
   /** Share of the processor for steps that only the clock triggers. */
-  public static final double TICK_SHARE = 0.06;
+  public static final double TICK_CPU_SHARE = 0.06;
 
   /**
    * Longest interval between clock steps, however slow the processor: lease renewals and checks
    * must not be late.
    */
-  public static final long TICK_MOST_MS = 150;
+  public static final long TICK_MAX_MS = 150;
 
   /** ms. A hold's life: two lost renewals and a slow answer are survived, a crash is seen soon. */
   public static final long HOLD_TTL_MS = 5_000;
@@ -113,7 +113,7 @@
   public static final long HANDOVER_FLUSH_MS = 1_500;
 
   /** Longest wait for a planned handover at shutdown: a few writes, each with a retry. */
-  public static final long HANDOVER_MOST_MS = 8_000;
+  public static final long HANDOVER_TIMEOUT_MS = 8_000;
 
   /** Bytes of updates in one message to a standby: it fits into a body with all that is around. */
   public static final int REPLICATION_BYTES = 40 * 1024;
@@ -180,7 +180,7 @@
   public static final long CANCEL_MARGIN_MS = 500;
 
   /** Attempts to learn of cancellations within the greatest age of the watermark. */
-  public static final int WATERMARK_TRIES = 4;
+  public static final int WATERMARK_ATTEMPTS = 4;
 
   /** Shortest interval between two such attempts, however low the greatest age is. */
   public static final long WATERMARK_PERIOD_MIN_MS = 250;
@@ -208,10 +208,10 @@
    * changes: a watch without events stays open for WATCH_WAIT_MS, and times out after twice
    * STATE_TIMEOUT_MS more.
    */
-  public static final long BEHIND_MS = 7_000;
+  public static final long RELIST_AFTER_MS = 7_000;
 
   /** Shortest interval between the openings of two watches: each counts as a request. */
-  public static final long WATCH_GAP_MS = 80;
+  public static final long WATCH_INTERVAL_MIN_MS = 80;
 
   /** Share of the state service's request limit for the watches of all controllers. */
   public static final double WATCH_SHARE = 0.3;
@@ -221,10 +221,10 @@
    * sent: under many changes a watch is opened sooner than that, and a concurrent sync would
    * transfer every change twice.
    */
-  public static final long SYNC_WAIT_MS = 100;
+  public static final long SYNC_DELAY_MS = 100;
 
   /** Shortest interval between two syncs for users' polls; polls in between share one. */
-  public static final long SYNC_GAP_MS = 40;
+  public static final long SYNC_INTERVAL_MIN_MS = 40;
 
   /** Share of the state service's request limit for the syncs of all controllers. */
   public static final double SYNC_SHARE = 0.3;
@@ -239,25 +239,25 @@
   public static final long STATE_RETRY_MS = 250;
 
   /** Extra shares of the state service's rate limits that the leader takes beside its own one. */
-  public static final double LEADER_SHARES = 1;
+  public static final double LEADER_EXTRA_SHARES = 1;
 
   /**
    * Sum of all controllers' shares relative to the rate limit: all controllers rarely write at the
    * same time.
    */
-  public static final double STATE_OVERBOOK = 1.3;
+  public static final double STATE_OVERCOMMIT = 1.3;
 
   /** Largest share of the rate limits for one controller, however few controllers there are. */
   public static final double STATE_SHARE_MAX = 0.9;
 
   /** Share of the burst of write tokens below which a controller batches its writes. */
-  public static final double SCARCE = 0.5;
+  public static final double WRITE_TOKENS_LOW = 0.5;
 
   /** Time that a deferred write waits for tokens before it fails and its sender may try again. */
-  public static final long LATE_WAIT_MS = 5_000;
+  public static final long DEFERRED_WRITE_WAIT_MS = 5_000;
 
   /** Pause of the state service's token buckets after a 429 or 503. */
-  public static final long BUCKET_REST_MS = 200;
+  public static final long RATE_LIMIT_BACKOFF_MS = 200;
 
   /**
    * Time that a submission or another write for a user waits for tokens before it is refused; users
@@ -269,10 +269,10 @@
   public static final int RETRY_AFTER_S = 1;
 
   /** Submissions that may wait for their writes at once; further ones get 429. */
-  public static final int MAX_WAITING = 400;
+  public static final int MAX_PENDING_SUBMISSIONS = 400;
 
   /** Size limit of a request body (protocol). */
-  public static final int MAX_BODY = 64 * 1024;
+  public static final int MAX_BODY_BYTES = 64 * 1024;
 
   /** ms for a worker's answer to direct orders; the rest comes by its reports. */
   public static final int ORDERS_TIMEOUT_MS = 2_500;
@@ -281,7 +281,7 @@
   public static final int TOKEN_BITS = 20;
 
   /** Relative drift between two machines' clocks: 0.05% each (protocol), doubled for safety. */
-  public static final double DRIFT = 0.002;
+  public static final double CLOCK_DRIFT = 0.002;
 
   /** ms added to a lease before it is held to have run out. */
   public static final long LEASE_MARGIN_MS = 500;
@@ -364,25 +364,25 @@
   public static final double SILENT_SHARE_MAX = 0.4;
 
   /** Report periods for which a silent machine is always kept, to see if others go silent too. */
-  public static final double SILENT_REPORTS = 0.5;
+  public static final double SILENT_MIN_REPORTS = 0.5;
 
   /**
    * Report periods for which silent machines are kept after a network outage: their workers first
    * try the controllers one after the other.
    */
-  public static final double SILENT_AFTER_CUT = 2;
+  public static final double SILENT_AFTER_OUTAGE_REPORTS = 2;
 
   /**
    * Time for which silent machines are kept during a network outage: it will end, and replacements
    * first have to boot.
    */
-  public static final long SILENT_KEEP_MS = 60_000;
+  public static final long SILENT_OUTAGE_MS = 60_000;
 
   /**
    * Share of the cancellation time limit for which a silent machine with cancelled tasks is kept
    * during a network outage.
    */
-  public static final double CANCEL_SHARE = 0.4;
+  public static final double SILENT_CANCEL_SHARE = 0.4;
 
   /**
    * Share of the time for a cancellation after which a partition's owner has the cloud take a
@@ -463,16 +463,16 @@
   public static final long ERROR_BACKOFF_MAX_MS = 60_000;
 
   /** Multiple of the machine list's lag for which a rented machine may be missing from it. */
-  public static final double LIST_LAGS = 4;
+  public static final double UNLISTED_LAGS = 4;
 
   /** Interval between checks for machines to rent or return: a boot takes seconds. */
   public static final long FLEET_PLAN_MS = 250;
 
   /** Interval between listings of the cloud's machines. */
-  public static final long LIST_MS = 2_500;
+  public static final long MACHINE_LIST_MS = 2_500;
 
   /** Interval between reads of the machine types, to follow spot prices. */
-  public static final long TYPES_MS = 60_000;
+  public static final long MACHINE_TYPES_MS = 60_000;
 
   /** Timeout of a cloud call; calls take 200 ms. */
   public static final int CLOUD_TIMEOUT_MS = 4_000;
@@ -487,22 +487,22 @@
    * Multiple of the nominal boot time after which a machine is late: a boot usually takes at most
    * 1.5 times as long.
    */
-  public static final double BOOT_LATE = 1.6;
+  public static final double BOOT_LATE_FACTOR = 1.6;
 
   /** Late machines of a type, not overtaken by newer ones, at which the cloud counts as slow. */
-  public static final int BOOT_LATE_MANY = 4;
+  public static final int SLOW_CLOUD_LATE_MACHINES = 4;
 
   /** Multiple of the nominal boot time after which a machine is given up if the cloud is slow. */
-  public static final double BOOT_GIVE_UP_SLOW = 8.0;
+  public static final double BOOT_GIVE_UP_SLOW_FACTOR = 8.0;
 
   /** Multiple of the nominal boot time after which a machine is given up. */
-  public static final double BOOT_GIVE_UP = 3.0;
+  public static final double BOOT_GIVE_UP_FACTOR = 3.0;
 
   /** Boot times for which an empty machine is kept: this saves the wait for another to boot. */
-  public static final double IDLE_BOOTS = 0.7;
+  public static final double IDLE_BOOT_TIMES = 0.7;
 
   /** Boot times for which array jobs wait for spot machines before on-demand ones are rented. */
-  public static final double DEARER_BOOTS = 0.4;
+  public static final double SPOT_WAIT_BOOT_TIMES = 0.4;
 
   /** Machines per rental request (protocol). */
   public static final int MAX_RENT = 50;
--- a/src/main/java/org/baygw/control/admin/Admin.java
+++ b/src/main/java/org/baygw/control/admin/Admin.java
@@ -109,7 +109,7 @@
       later(request);
       return;
     }
-    store.current(
+    store.whenCurrent(
         ok -> {
           if (ok) {
             then.accept(true);
@@ -186,7 +186,7 @@
     ArrayNode a = n.putArray("partitions");
     for (Partition p : membership.partitions()) {
       ObjectNode o = a.addObject().put("part", p.toString()).put("owner", membership.owner(p));
-      o.put("granted_tasks", view.granted(p));
+      o.put("granted_tasks", view.grantedCount(p));
     }
     return n;
   }
--- a/src/main/java/org/baygw/control/config/Settings.java
+++ b/src/main/java/org/baygw/control/config/Settings.java
@@ -67,8 +67,8 @@
      */
     public long watermarkMs() {
       return (long)
-          (cancelS * 1000 * (1 - Constants.DRIFT)
-              - leaseS * 1000 * (1 + Constants.DRIFT)
+          (cancelS * 1000 * (1 - Constants.CLOCK_DRIFT)
+              - leaseS * 1000 * (1 + Constants.CLOCK_DRIFT)
               - Constants.CANCEL_MARGIN_MS);
     }
 
@@ -76,7 +76,7 @@
     public long watermarkPeriodMs(long mostMs) {
       return Math.max(
           Constants.WATERMARK_PERIOD_MIN_MS,
-          Math.min(mostMs, watermarkMs() / Constants.WATERMARK_TRIES));
+          Math.min(mostMs, watermarkMs() / Constants.WATERMARK_ATTEMPTS));
     }
   }
 
@@ -106,7 +106,7 @@
   /** ms after which the core looks at what there is to do, if nothing made it do so before. */
   public long tickMs() {
     return resources.periodMs(
-        Constants.TICK_COST_MS, Constants.TICK_SHARE, Constants.TICK_MS, Constants.TICK_MOST_MS);
+        Constants.TICK_COST_MS, Constants.TICK_CPU_SHARE, Constants.TICK_MS, Constants.TICK_MAX_MS);
   }
 
   public Team team(String name) {
--- a/src/main/java/org/baygw/control/fleet/Rentals.java
+++ b/src/main/java/org/baygw/control/fleet/Rentals.java
@@ -80,7 +80,7 @@
     this.view = view;
     this.cloud = cloud;
     this.inventory = inventory;
-    this.unlistedMs = (long) (settings.cloud().listLagS() * 1000 * Constants.LIST_LAGS);
+    this.unlistedMs = (long) (settings.cloud().listLagS() * 1000 * Constants.UNLISTED_LAGS);
   }
 
   /** Begins anew: this controller has become the leader under this claim. */
@@ -186,7 +186,7 @@
     Rental rental = new Rental(kind.type(), kind.zone(), kind.spot(), count);
     busy.add(name);
     unwritten.put(name, rental);
-    store.settle(
+    store.txnWithRetry(
         Store.Urgency.GRANT,
         new Txn()
             .when(Keys.claim(Keys.LEADER), claim)
@@ -246,7 +246,7 @@
   private void forget(String name, long stamp) {
     busy.add(name);
     Answer answer = answered.remove(name);
-    store.settle(
+    store.txnWithRetry(
         Store.Urgency.GRANT,
         new Txn()
             .when(Keys.claim(Keys.LEADER), claim)
--- a/src/main/java/org/baygw/control/fleet/Returns.java
+++ b/src/main/java/org/baygw/control/fleet/Returns.java
@@ -138,7 +138,7 @@
     Txn txn = new Txn().when(Keys.claim(Keys.LEADER), claim).when(key, view.stamp(key)).put(key, v);
     cordons.forEach(m -> txn.delete(Keys.cordon(m)));
     busyLists.add(part);
-    store.settle(
+    store.txnWithRetry(
         Store.Urgency.CANCEL,
         txn,
         Constants.STATE_TIMEOUT_MS,
@@ -169,7 +169,7 @@
     return why == StateCache.Drain.IDLE
         && settled(part)
         && !gone.contains(name)
-        && !view.on(name).isEmpty();
+        && !view.tasksOn(name).isEmpty();
   }
 
   /** Whether the copy has all that was placed in the partition before its list last changed. */
--- a/src/main/java/org/baygw/control/fleet/SpareMachines.java
+++ b/src/main/java/org/baygw/control/fleet/SpareMachines.java
@@ -106,7 +106,7 @@
       long since = emptySince.computeIfAbsent(m.name(), k -> now);
       MachineType type = view.type(m.type());
       boolean leaving = m.condition() != Machine.Condition.OK;
-      double keep = type == null || leaving ? 0 : type.bootS() * 1000 * Constants.IDLE_BOOTS;
+      double keep = type == null || leaving ? 0 : type.bootS() * 1000 * Constants.IDLE_BOOT_TIMES;
       if (m.spot() && type != null && type.spotPrice() > 0) {
         keep *= type.price() / type.spotPrice(); // the same cost buys a longer wait
       }
@@ -140,14 +140,14 @@
     if (!cut) {
       double reportMs = settings.workers().reportS() * 1000;
       return now - cutAt.getOrDefault(m.zone(), Long.MIN_VALUE / 2)
-              < reportMs * Constants.SILENT_AFTER_CUT
-          || silent < reportMs * Constants.SILENT_REPORTS;
+              < reportMs * Constants.SILENT_AFTER_OUTAGE_REPORTS
+          || silent < reportMs * Constants.SILENT_MIN_REPORTS;
     }
-    long limit = Constants.SILENT_KEEP_MS;
+    long limit = Constants.SILENT_OUTAGE_MS;
     for (TaskId t : m.tasks().keySet()) {
       StateCache.Entry<Job> j = view.jobs.get(t.job());
       if (j != null && j.value().state() == Job.State.CANCELLED) {
-        limit = (long) (settings.workers().cancelS() * 1000 * Constants.CANCEL_SHARE);
+        limit = (long) (settings.workers().cancelS() * 1000 * Constants.SILENT_CANCEL_SHARE);
       }
     }
     return silent < limit;
--- a/src/main/java/org/baygw/control/jobs/Jobs.java
+++ b/src/main/java/org/baygw/control/jobs/Jobs.java
@@ -135,7 +135,7 @@
       refuse(request, id, 422, never);
       return;
     }
-    if (waiting >= Constants.MAX_WAITING) {
+    if (waiting >= Constants.MAX_PENDING_SUBMISSIONS) {
       later(request, 429, "too many submissions at once");
       return;
     }
@@ -158,7 +158,7 @@
 
   /** A known id is never refused, so a refusal waits for a current copy. */
   private void refuse(long request, String id, int status, String why) {
-    store.current(
+    store.whenCurrent(
         ok -> {
           if (!ok) {
             later(request, 503, "the state service does not answer");
@@ -201,7 +201,7 @@
       later(request, 503, "not read in yet");
       return;
     }
-    store.current(
+    store.whenCurrent(
         ok -> {
           if (ok) {
             answer(request, id);
@@ -222,7 +222,7 @@
       return;
     }
     if (known == null) {
-      store.current(
+      store.whenCurrent(
           ok -> {
             if (!ok) {
               later(request, 503, "the state service does not answer");
@@ -246,7 +246,7 @@
               peers.cancelled();
               answer(request, id);
             }
-            case CONFLICT -> store.current(ok -> abort(request, id, ok ? tries - 1 : 0));
+            case CONFLICT -> store.whenCurrent(ok -> abort(request, id, ok ? tries - 1 : 0));
             default -> later(request, 503, "the state service does not answer");
           }
         });
@@ -272,7 +272,7 @@
       for (StateCache.Entry<Progress> p : chunks.values()) {
         done += p.value().done.cardinality();
         for (int i : p.value().live.keySet()) {
-          if (view.places.containsKey(new TaskId(id, i))) {
+          if (view.taskMachines.containsKey(new TaskId(id, i))) {
             running++;
           }
         }
--- a/src/main/java/org/baygw/control/membership/Membership.java
+++ b/src/main/java/org/baygw/control/membership/Membership.java
@@ -85,7 +85,7 @@
     StateCache.Entry<StateCache.Claim> claim = view.claims.get(role);
     return claim != null
             && lease.current() != 0
-            && claim.value().hold() == lease.current()
+            && claim.value().leaseId() == lease.current()
             && view.revision() >= claim.stamp()
             && claim.stamp() > overtaken.getOrDefault(role, 0L)
         ? claim.stamp()
@@ -195,22 +195,22 @@
     Txn release = new Txn();
     for (String role : roles()) {
       long stamp = owned(role);
-      if (stamp != 0 && release.writes() < settings.state().txnOps()) {
+      if (stamp != 0 && release.writeCount() < settings.state().txnOps()) {
         release.when(Keys.claim(role), stamp).delete(Keys.claim(role));
       }
     }
-    if (release.writes() == 0) {
+    if (release.writeCount() == 0) {
       then.accept(true);
       return true;
     }
     claiming = true;
-    store.settle(
-        Store.Urgency.HOLD,
+    store.txnWithRetry(
+        Store.Urgency.LEASE,
         release,
         Constants.STATE_TIMEOUT_MS,
         ok -> {
           claiming = false;
-          LOG.info("{} {}", ok ? "released" : "could not release", release.then());
+          LOG.info("{} {}", ok ? "released" : "could not release", release.keys());
           then.accept(ok);
         });
     return true;
@@ -249,7 +249,7 @@
     if (!store.loaded() || !joined) {
       return;
     }
-    store.share(leadership() != 0);
+    store.updateShare(leadership() != 0);
     if (!claiming && now >= nextClaim && view.members.containsKey(settings.label())) {
       if (view.partitionsPerZone() == 0) {
         layOut();
@@ -267,7 +267,7 @@
     claiming = true;
     int perZone = assignment.initialPerZone();
     store.txn(
-        Store.Urgency.HOLD,
+        Store.Urgency.LEASE,
         new Txn()
             .when(Keys.LAYOUT, 0)
             .put(Keys.LAYOUT, Json.object().put("partitions_per_zone", perZone)),
@@ -281,7 +281,7 @@
   /** Whether this controller counts as one that reaches the workers of its zone. */
   public boolean reaches() {
     StateCache.Entry<StateCache.Member> self = view.members.get(settings.label());
-    return self == null || self.value().reaches();
+    return self == null || self.value().reachesWorkers();
   }
 
   /** Whether another controller of this zone counts as one that does. */
@@ -290,7 +290,7 @@
       StateCache.Member member = entry.getValue().value();
       if (!entry.getKey().equals(settings.label())
           && member.zone().equals(settings.zone())
-          && member.reaches()) {
+          && member.reachesWorkers()) {
         return true;
       }
     }
@@ -308,21 +308,21 @@
   /** Takes what this controller is to have and nobody holds, or else hands one partition over. */
   private void claims() {
     Txn take = take();
-    Txn next = take.writes() > 0 || leaving() ? take : give();
-    if (next.writes() == 0) {
+    Txn next = take.writeCount() > 0 || leaving() ? take : give();
+    if (next.writeCount() == 0) {
       nextClaim = clock.now() + Constants.CLAIM_LOOK_MS;
       return;
     }
     claiming = true;
     store.txn(
-        Store.Urgency.HOLD,
+        Store.Urgency.LEASE,
         next,
         Constants.STATE_TIMEOUT_MS,
         outcome -> {
           claiming = false;
           nextClaim = clock.now() + (outcome == Store.Outcome.OK ? 0 : Constants.CLAIM_RETRY_MS);
           if (outcome == Store.Outcome.OK) {
-            LOG.info("{} {}", next == take ? "took" : "handed over", next.then());
+            LOG.info("{} {}", next == take ? "took" : "handed over", next.keys());
           }
         });
   }
@@ -416,7 +416,8 @@
     Set<String> staying = staying(among);
     Set<String> out = new HashSet<>(staying);
     out.removeIf(
-        label -> view.members.containsKey(label) && !view.members.get(label).value().reaches());
+        label ->
+            view.members.containsKey(label) && !view.members.get(label).value().reachesWorkers());
     return out.isEmpty() ? staying : out;
   }
 
--- a/src/main/java/org/baygw/control/membership/MembershipLease.java
+++ b/src/main/java/org/baygw/control/membership/MembershipLease.java
@@ -94,9 +94,9 @@
 
   private void join() {
     StateCache.Entry<StateCache.Member> before = view.members.get(settings.label());
-    if (before != null && before.value().hold() != ended) {
+    if (before != null && before.value().leaseId() != ended) {
       // Of this controller's former process, which has ended: its claims come free at once.
-      end(before.value().hold());
+      end(before.value().leaseId());
       return;
     }
     long taken = prepared;
@@ -147,7 +147,7 @@
     busy = true;
     String key = Keys.member(settings.label());
     store.txn(
-        Store.Urgency.HOLD,
+        Store.Urgency.LEASE,
         new Txn().put(key, member(taken, true), taken),
         Constants.STATE_TIMEOUT_MS,
         outcome -> {
@@ -186,7 +186,7 @@
 
   /** How long a lease that is taken or renewed now lives at least, by this controller's clock. */
   private long certainlyUntil() {
-    return clock.now() + (long) (Constants.HOLD_TTL_MS * (1 - Constants.DRIFT));
+    return clock.now() + (long) (Constants.HOLD_TTL_MS * (1 - Constants.CLOCK_DRIFT));
   }
 
   /** Ends the lease now, with all claims, and takes no other. */
@@ -218,7 +218,7 @@
   private void request(String method, String path, byte[] body, Answer then) {
     busy = true;
     store.request(
-        Store.Urgency.HOLD,
+        Store.Urgency.LEASE,
         method,
         path,
         body,
@@ -240,7 +240,7 @@
   /** Makes durable whether this controller reaches the workers of its zone. */
   void reaches(boolean can) {
     StateCache.Entry<StateCache.Member> entry = view.members.get(settings.label());
-    if (entry != null && entry.value().reaches() != can) {
+    if (entry != null && entry.value().reachesWorkers() != can) {
       update(entry, can, () -> LOG.info("{} its workers", can ? "reaches" : "does not reach"));
     }
   }
@@ -252,20 +252,20 @@
     if (entry != null && entry.value().leaving() != leaves) {
       update(
           entry,
-          entry.value().reaches(),
+          entry.value().reachesWorkers(),
           () -> LOG.info(leaves ? "leaves its roles to the others" : "takes roles again"));
     }
   }
 
   private void update(
       StateCache.Entry<StateCache.Member> entry, boolean reaches, Runnable written) {
-    if (updating || entry.value().hold() != current) {
+    if (updating || entry.value().leaseId() != current) {
       return;
     }
     updating = true;
     String key = Keys.member(settings.label());
     store.txn(
-        Store.Urgency.HOLD,
+        Store.Urgency.LEASE,
         new Txn().when(key, entry.stamp()).put(key, member(current, reaches), current),
         Constants.STATE_TIMEOUT_MS,
         outcome -> {
--- a/src/main/java/org/baygw/control/membership/Peers.java
+++ b/src/main/java/org/baygw/control/membership/Peers.java
@@ -146,7 +146,7 @@
     }
     seen.put(status.label(), new Seen(clock.now(), status.stateAgeMs(), status.revision()));
     for (PeerStatus.Cancellation c : status.cancellations()) {
-      view.toldCancelled(c.job(), c.stamp(), c.cancelledMs());
+      view.addPeerCancellation(c.job(), c.stamp(), c.cancelledMs());
     }
     if (status.revision() > view.revision()) {
       store.refresh();
--- a/src/main/java/org/baygw/control/net/EventLoop.java
+++ b/src/main/java/org/baygw/control/net/EventLoop.java
@@ -125,7 +125,7 @@
                 0,
                 Constants.TICK_MS,
                 TimeUnit.MILLISECONDS);
-    if (!ended.await(Constants.HANDOVER_MOST_MS, TimeUnit.MILLISECONDS)) {
+    if (!ended.await(Constants.HANDOVER_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
       LOG.warn("roles were not handed over in time: their leases run out");
     }
     looks.cancel(false);
@@ -150,7 +150,7 @@
               protected void initChannel(SocketChannel ch) {
                 ch.pipeline()
                     .addLast(new HttpServerCodec())
-                    .addLast(new HttpObjectAggregator(Constants.MAX_BODY + 1))
+                    .addLast(new HttpObjectAggregator(Constants.MAX_BODY_BYTES + 1))
                     .addLast(new Requests(entry));
               }
             })
@@ -249,7 +249,7 @@
       String uri = r.uri();
       int query = uri.indexOf('?');
       String path = query < 0 ? uri : uri.substring(0, query);
-      if (r.decoderResult().isFailure() || body.length > Constants.MAX_BODY) {
+      if (r.decoderResult().isFailure() || body.length > Constants.MAX_BODY_BYTES) {
         answer(new Outbox.Answer(id, 400, MALFORMED, 0, false));
         return;
       }
--- a/src/main/java/org/baygw/control/quota/JobWrites.java
+++ b/src/main/java/org/baygw/control/quota/JobWrites.java
@@ -70,7 +70,7 @@
   private void write(
       String job, int count, Store.Urgency urgency, Txn txn, Consumer<Boolean> then) {
     grants.put(job, count);
-    store.settle(
+    store.txnWithRetry(
         urgency,
         txn,
         Constants.STATE_TIMEOUT_MS,
--- a/src/main/java/org/baygw/control/quota/PartitionAvoidance.java
+++ b/src/main/java/org/baygw/control/quota/PartitionAvoidance.java
@@ -68,6 +68,6 @@
         && job.value().open()
         && progress != null
         && !progress.done.get(task.index())
-        && !view.places.containsKey(task);
+        && !view.taskMachines.containsKey(task);
   }
 }
--- a/src/main/java/org/baygw/control/quota/ProgressFolding.java
+++ b/src/main/java/org/baygw/control/quota/ProgressFolding.java
@@ -44,7 +44,7 @@
               && writes.count() <= Constants.FOLDS;
       if (due) {
         Txn txn = fold(job, chunks);
-        if (txn.writes() > 0) {
+        if (txn.writeCount() > 0) {
           writes.write(job, Store.Urgency.GRANT, txn);
         }
       }
@@ -69,10 +69,10 @@
     Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leadership());
     chunks.forEach(
         (chunk, entry) -> {
-          Progress written = view.written(job, chunk);
+          Progress written = view.storedProgress(job, chunk);
           if (written != null
               && differs(written, entry.value())
-              && txn.writes() < settings.state().txnOps()) {
+              && txn.writeCount() < settings.state().txnOps()) {
             String key = Keys.progress(job, chunk);
             txn.when(key, view.stamp(key)).put(key, Records.progress(entry.value()));
           }
--- a/src/main/java/org/baygw/control/quota/Scheduler.java
+++ b/src/main/java/org/baygw/control/quota/Scheduler.java
@@ -94,7 +94,7 @@
    * a machine that has just come up would count neither as on its way nor as one that has room.
    */
   public boolean unmetIsCurrent() {
-    return seenChanges == view.changes();
+    return seenChanges == view.changeCount();
   }
 
   public int unmetTasks() {
@@ -120,8 +120,10 @@
     nextPass =
         now
             + large
-            + (store.scarce() ? Constants.SCHEDULER_SCARCE_MS : Constants.SCHEDULER_PASS_MS);
-    seenChanges = view.changes();
+            + (store.writeTokensLow()
+                ? Constants.SCHEDULER_SCARCE_MS
+                : Constants.SCHEDULER_PASS_MS);
+    seenChanges = view.changeCount();
     new Pass().run();
   }
 
@@ -165,7 +167,7 @@
     private FreeCapacity free;
 
     void run() {
-      List<StateCache.Entry<Job>> jobs = new ArrayList<>(view.active.values());
+      List<StateCache.Entry<Job>> jobs = new ArrayList<>(view.activeJobs.values());
       jobs.sort(
           Comparator.comparing((StateCache.Entry<Job> job) -> job.value().acceptedMs())
               .thenComparing(job -> job.value().spec().id()));
@@ -435,7 +437,7 @@
   private void clean(String id, TreeMap<Integer, StateCache.Entry<Progress>> chunks) {
     Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leadership());
     for (Integer chunk : chunks.keySet()) {
-      if (txn.writes() < settings.state().txnOps()) {
+      if (txn.writeCount() < settings.state().txnOps()) {
         String key = Keys.progress(id, chunk);
         txn.when(key, view.stamp(key)).delete(key);
       }
--- a/src/main/java/org/baygw/control/standby/Reconciliation.java
+++ b/src/main/java/org/baygw/control/standby/Reconciliation.java
@@ -43,7 +43,7 @@
   static Result ofLeader(RoleState state, StateCache view) {
     Reconciliation reconciliation = new Reconciliation(view);
     for (String job : state.waitingSinceMs().keySet()) {
-      if (!view.active.containsKey(job)) {
+      if (!view.activeJobs.containsKey(job)) {
         reconciliation.correct(new Decision.JobServed(job), 1);
       }
     }
@@ -69,7 +69,7 @@
       correct(new Decision.MachineGone(name), 1);
       return;
     }
-    Set<TaskId> recorded = view.on(name).keySet();
+    Set<TaskId> recorded = view.tasksOn(name).keySet();
     machine
         .launched()
         .forEach(
@@ -86,7 +86,7 @@
 
   /** Tasks on record of which the replica does not know the launch: a lag, or not launched yet. */
   private void countMissing(String name, MachineState machine) {
-    for (TaskId task : view.on(name).keySet()) {
+    for (TaskId task : view.tasksOn(name).keySet()) {
       TimedTasks known = machine.launched().getOrDefault(task.job(), TimedTasks.NONE);
       differences += all(known).contains(task.index()) ? 0 : 1;
     }
--- a/src/main/java/org/baygw/control/standby/RoleTable.java
+++ b/src/main/java/org/baygw/control/standby/RoleTable.java
@@ -134,8 +134,8 @@
 
   /** Only claims and members decide, so without a change of them there is nothing to choose. */
   private void chooseStandbys() {
-    if (ownershipChanges != view.ownershipChanges()) {
-      ownershipChanges = view.ownershipChanges();
+    if (ownershipChanges != view.ownershipChangeCount()) {
+      ownershipChanges = view.ownershipChangeCount();
       for (RoleEntry entry : entries.values()) {
         entry.standby = membership.successor(entry.role.name());
       }
--- a/src/main/java/org/baygw/control/store/PartitionPages.java
+++ b/src/main/java/org/baygw/control/store/PartitionPages.java
@@ -39,7 +39,7 @@
   }
 
   /** Estimated size of the machines' tasks and conditions on a page. */
-  public int onBytes(Partition part, int page) {
+  public int assignmentBytes(Partition part, int page) {
     return page(part, page).onBytes();
   }
 
--- a/src/main/java/org/baygw/control/store/RequestQueue.java
+++ b/src/main/java/org/baygw/control/store/RequestQueue.java
@@ -72,9 +72,9 @@
 
   /** Takes an even share of the service's rate limits, and an extra one if this is the leader. */
   void share(boolean leads) {
-    double shares = settings.peers().size() + 1 + Constants.LEADER_SHARES;
-    double own = (1.0 + (leads ? Constants.LEADER_SHARES : 0)) / shares;
-    double share = Math.min(Constants.STATE_SHARE_MAX, own * Constants.STATE_OVERBOOK);
+    double shares = settings.peers().size() + 1 + Constants.LEADER_EXTRA_SHARES;
+    double own = (1.0 + (leads ? Constants.LEADER_EXTRA_SHARES : 0)) / shares;
+    double share = Math.min(Constants.STATE_SHARE_MAX, own * Constants.STATE_OVERCOMMIT);
     double requestsPerS = settings.state().rps() * share;
     double changesPerS = settings.state().writeRps() * share;
     requests.rate(requestsPerS, requestsPerS);
@@ -83,7 +83,7 @@
 
   /** Whether write tokens are running low. */
   boolean scarce() {
-    return changes.fullness(clock.now()) < Constants.SCARCE;
+    return changes.fullness(clock.now()) < Constants.WRITE_TOKENS_LOW;
   }
 
   /** Takes a token, if one is available, for a request that the caller sends at once. */
@@ -109,7 +109,8 @@
   /** Queues a write that is built when tokens are available; null means nothing to write. */
   void addLate(
       Store.Urgency urgency, Supplier<Txn> maker, Consumer<Txn> sender, Outbox.Callback then) {
-    queue(urgency).add(new Late(maker, sender, clock.now() + Constants.LATE_WAIT_MS, then));
+    queue(urgency)
+        .add(new Late(maker, sender, clock.now() + Constants.DEFERRED_WRITE_WAIT_MS, then));
     pump();
   }
 
@@ -160,7 +161,7 @@
     if (txn == null) {
       late.then().done(Outbox.NOT_SENT, NO_BODY);
     } else {
-      changes.charge(txn.writes());
+      changes.charge(txn.writeCount());
       requests.charge(1);
       late.sender().accept(txn);
     }
@@ -192,8 +193,8 @@
         timeoutMs,
         (status, answer) -> {
           if (status == 429 || status == 503) {
-            requests.rest(clock.now(), Constants.BUCKET_REST_MS);
-            changes.rest(clock.now(), Constants.BUCKET_REST_MS);
+            requests.rest(clock.now(), Constants.RATE_LIMIT_BACKOFF_MS);
+            changes.rest(clock.now(), Constants.RATE_LIMIT_BACKOFF_MS);
           } else if (status > 0 && status < 500) {
             // Not the arrival time: a process that was suspended reads old answers when it resumes,
             // and would consider itself connected during an outage that began meanwhile.
--- a/src/main/java/org/baygw/control/store/StateCache.java
+++ b/src/main/java/org/baygw/control/store/StateCache.java
@@ -36,13 +36,13 @@
   public record Entry<T>(T value, long stamp) {}
 
   /** Owner of a claim, and the lease that the claim's key is attached to. */
-  public record Claim(String owner, long hold) {}
+  public record Claim(String owner, long leaseId) {}
 
   /**
    * A live controller. One that cannot reach its workers leaves the partitions to the others; one
    * that is leaving hands all its roles over to them.
    */
-  public record Member(String zone, long hold, boolean reaches, boolean leaving) {}
+  public record Member(String zone, long leaseId, boolean reachesWorkers, boolean leaving) {}
 
   /** State of a machine that is being drained. */
   public enum Drain {
@@ -65,15 +65,15 @@
   private final Map<String, Long> stamps = new HashMap<>();
   private final Map<String, Long> tombs = new HashMap<>();
   private long revision;
-  private long changes;
+  private long changeCount;
 
   /** Number of changes of claims and members. */
-  private long ownershipChanges;
+  private long ownershipChangeCount;
 
   public final Map<String, Entry<Job>> jobs = new HashMap<>();
 
   /** Jobs that are open or still have progress keys; only the state of the others is needed. */
-  public final Map<String, Entry<Job>> active = new LinkedHashMap<>();
+  public final Map<String, Entry<Job>> activeJobs = new LinkedHashMap<>();
 
   /** Progress by job and chunk, including the ended tasks in the partitions' records. */
   public final Map<String, TreeMap<Integer, Entry<Progress>>> progress = new HashMap<>();
@@ -88,17 +88,17 @@
   public SchedulingParameters params = SchedulingParameters.DEFAULTS;
 
   /** Machines that may have each task; more than one only in case of a fault. */
-  public final Map<TaskId, Set<String>> places = new HashMap<>();
+  public final Map<TaskId, Set<String>> taskMachines = new HashMap<>();
 
   /** Partitions per zone; 0 until the number is durable. */
   private int partitionsPerZone;
 
   /** Progress as stored, by key, without the ended tasks in the partitions' records. */
-  private final Map<String, Progress> written = new HashMap<>();
+  private final Map<String, Progress> storedProgress = new HashMap<>();
 
   private final Map<Partition, Set<String>> machinesOf = new HashMap<>();
   private final PartitionPages pages = new PartitionPages();
-  private final Map<String, Map<TaskId, Integer>> on = new HashMap<>();
+  private final Map<String, Map<TaskId, Integer>> tasksByMachine = new HashMap<>();
 
   /** Ended tasks, by job and key of the page of a partition's record. */
   private final Map<String, Map<String, Ended>> ended = new HashMap<>();
@@ -109,31 +109,31 @@
   private final Map<Partition, Set<TaskId>> unplaced = new HashMap<>();
 
   /** Number of tasks granted to each partition. */
-  private final Map<Partition, Integer> granted = new HashMap<>();
+  private final Map<Partition, Integer> grantedCounts = new HashMap<>();
 
   private Set<String> changedMachines = new LinkedHashSet<>();
 
   /** Jobs that are cancelled in this cache, by the revision of their cancellation. */
-  private final TreeMap<Long, Set<String>> cancelled = new TreeMap<>();
+  private final TreeMap<Long, Set<String>> cancelledByRevision = new TreeMap<>();
 
   /** A cancellation reported by a peer: its revision, and the time of day when it was written. */
   private record Told(long stamp, long cancelledMs) {}
 
   /** Durable cancellations reported by peers, of revisions that this cache has not reached. */
-  private final Map<String, Told> toldCancelled = new HashMap<>();
+  private final Map<String, Told> peerCancellations = new HashMap<>();
 
   public long revision() {
     return revision;
   }
 
   /** Increases with every change, so that callers can skip a pass over unchanged data. */
-  public long changes() {
-    return changes;
+  public long changeCount() {
+    return changeCount;
   }
 
   /** Increases with every change of a claim or a member. */
-  public long ownershipChanges() {
-    return ownershipChanges;
+  public long ownershipChangeCount() {
+    return ownershipChangeCount;
   }
 
   public int partitionsPerZone() {
@@ -163,8 +163,8 @@
    * Progress as its key stores it. Null if there is no such key; then the partitions' records need
    * not keep the chunk's ended tasks either.
    */
-  public Progress written(String job, int chunk) {
-    return written.get(Keys.progress(job, chunk));
+  public Progress storedProgress(String job, int chunk) {
+    return storedProgress.get(Keys.progress(job, chunk));
   }
 
   /**
@@ -172,40 +172,42 @@
    * durable cancellation is final, so it takes effect before this cache has reached it; answers to
    * users depend on the job's key alone.
    */
-  public boolean runs(String job) {
+  public boolean shouldRun(String job) {
     Entry<Job> j = jobs.get(job);
-    return j != null && j.value().open() && !toldCancelled.containsKey(job);
+    return j != null && j.value().open() && !peerCancellations.containsKey(job);
   }
 
-  public boolean cancelled(String job) {
+  public boolean isCancelled(String job) {
     Entry<Job> j = jobs.get(job);
-    return toldCancelled.containsKey(job) || j != null && j.value().state() == Job.State.CANCELLED;
+    return peerCancellations.containsKey(job)
+        || j != null && j.value().state() == Job.State.CANCELLED;
   }
 
   /** Time of day, in ms, at which the cancellation of a cancelled job was written. */
   public long cancelledMs(String job) {
-    Told told = toldCancelled.get(job);
+    Told told = peerCancellations.get(job);
     Entry<Job> j = jobs.get(job);
     return told != null ? told.cancelledMs() : j == null ? 0 : j.value().cancelledMs();
   }
 
   /** Adds a cancellation that a peer reported, which became durable at the revision. */
-  public void toldCancelled(String job, long stamp, long cancelledMs) {
-    if (stamp > revision && toldCancelled.putIfAbsent(job, new Told(stamp, cancelledMs)) == null) {
-      changes++;
+  public void addPeerCancellation(String job, long stamp, long cancelledMs) {
+    if (stamp > revision
+        && peerCancellations.putIfAbsent(job, new Told(stamp, cancelledMs)) == null) {
+      changeCount++;
       lookAtMachinesOf(job);
     }
   }
 
   /** Jobs in this cache that were cancelled after a revision, by revision of the cancellation. */
   public SortedMap<Long, Set<String>> cancelledAfter(long rev) {
-    return cancelled.tailMap(rev, false);
+    return cancelledByRevision.tailMap(rev, false);
   }
 
   private void lookAtMachinesOf(String job) {
     for (Entry<Progress> c : progress.getOrDefault(job, NO_CHUNKS).values()) {
       for (int i : c.value().live.keySet()) {
-        changedMachines.addAll(places.getOrDefault(new TaskId(job, i), Set.of()));
+        changedMachines.addAll(taskMachines.getOrDefault(new TaskId(job, i), Set.of()));
       }
     }
   }
@@ -225,12 +227,12 @@
   }
 
   /** Tasks on a machine by its partition's record, with their attempts. */
-  public Map<TaskId, Integer> on(String machine) {
-    return on.getOrDefault(machine, Map.of());
+  public Map<TaskId, Integer> tasksOn(String machine) {
+    return tasksByMachine.getOrDefault(machine, Map.of());
   }
 
-  public int granted(Partition p) {
-    return granted.getOrDefault(p, 0);
+  public int grantedCount(Partition p) {
+    return grantedCounts.getOrDefault(p, 0);
   }
 
   public Set<TaskId> unplaced(Partition p) {
@@ -238,7 +240,7 @@
   }
 
   /** Number of a job's completed tasks, including those not yet in its stored progress. */
-  public int done(String job) {
+  public int doneCount(String job) {
     int n = 0;
     for (Entry<Progress> p : progress.getOrDefault(job, NO_CHUNKS).values()) {
       n += p.value().done.cardinality();
@@ -256,13 +258,13 @@
   }
 
   private void grantEnds(TaskId t, Progress.Live l) {
-    granted.merge(l.part(), -1, Integer::sum);
+    grantedCounts.merge(l.part(), -1, Integer::sum);
     unplaced.getOrDefault(l.part(), Set.of()).remove(t);
   }
 
   private void grantBegins(TaskId t, Progress.Live l) {
-    granted.merge(l.part(), 1, Integer::sum);
-    Set<String> at = places.get(t);
+    grantedCounts.merge(l.part(), 1, Integer::sum);
+    Set<String> at = taskMachines.get(t);
     if (at == null) {
       unplaced.computeIfAbsent(l.part(), k -> new HashSet<>()).add(t);
     } else if (l.stop()) {
@@ -281,7 +283,7 @@
     if (rev > revision) {
       revision = rev;
       tombs.values().removeIf(s -> s <= rev);
-      toldCancelled.values().removeIf(t -> t.stamp() <= rev);
+      peerCancellations.values().removeIf(t -> t.stamp() <= rev);
     }
   }
 
@@ -294,7 +296,7 @@
       return;
     }
     stamps.put(key, stamp);
-    changes++;
+    changeCount++;
     try {
       apply(key, value, stamp);
     } catch (RuntimeException e) {
@@ -312,7 +314,7 @@
     if (stamp > revision) {
       tombs.put(key, stamp);
     }
-    changes++;
+    changeCount++;
     apply(key, null, stamp);
   }
 
@@ -325,7 +327,7 @@
         activate(id);
         if (v != null && !jobs.get(id).value().open()) {
           if (jobs.get(id).value().state() == Job.State.CANCELLED) {
-            cancelled.computeIfAbsent(stamp, k -> new HashSet<>()).add(id);
+            cancelledByRevision.computeIfAbsent(stamp, k -> new HashSet<>()).add(id);
           }
           lookAtMachinesOf(id);
         }
@@ -341,7 +343,7 @@
         Entry<Machine> old = machines.get(id);
         if (next != null) {
           String condition = condition(next.part(), id);
-          next = next.withTasks(on(id));
+          next = next.withTasks(tasksOn(id));
           next = condition == null ? next : next.with(Machine.Condition.valueOf(condition));
           for (String image : old == null ? List.<String>of() : old.value().images()) {
             next = next.withImage(image);
@@ -358,7 +360,7 @@
       }
       case "layout" -> partitionsPerZone = v == null ? 0 : v.path("partitions_per_zone").asInt();
       case "claim" -> {
-        ownershipChanges++;
+        ownershipChangeCount++;
         set(
             claims,
             id,
@@ -366,7 +368,7 @@
             stamp);
       }
       case "member" -> {
-        ownershipChanges++;
+        ownershipChangeCount++;
         set(
             members,
             id,
@@ -423,9 +425,9 @@
   private void activate(String id) {
     Entry<Job> j = jobs.get(id);
     if (j != null && (j.value().open() || progress.containsKey(id))) {
-      active.put(id, j);
+      activeJobs.put(id, j);
     } else {
-      active.remove(id);
+      activeJobs.remove(id);
     }
   }
 
@@ -437,9 +439,9 @@
       old.value().live.forEach((i, l) -> grantEnds(new TaskId(id, i), l));
     }
     if (next == null) {
-      written.remove(key);
+      storedProgress.remove(key);
     } else {
-      written.put(key, next);
+      storedProgress.put(key, next);
       next = next.copy();
       for (Ended e : ended.getOrDefault(id, Map.of()).values()) {
         int from = chunk * Constants.CHUNK_TASKS;
@@ -545,13 +547,13 @@
   }
 
   private void tasksChanged(String machine, Map<TaskId, Integer> next) {
-    Map<TaskId, Integer> old = on(machine);
+    Map<TaskId, Integer> old = tasksOn(machine);
     for (TaskId t : old.keySet()) {
       if (!next.containsKey(t)) {
-        Set<String> at = places.get(t);
+        Set<String> at = taskMachines.get(t);
         at.remove(machine);
         if (at.isEmpty()) {
-          places.remove(t);
+          taskMachines.remove(t);
           Progress.Live l = grant(t);
           if (l != null) {
             unplaced.computeIfAbsent(l.part(), k -> new HashSet<>()).add(t);
@@ -563,7 +565,7 @@
     for (TaskId t : next.keySet()) {
       if (!old.containsKey(t)) {
         fresh.add(t);
-        places.computeIfAbsent(t, k -> new HashSet<>()).add(machine);
+        taskMachines.computeIfAbsent(t, k -> new HashSet<>()).add(machine);
         Progress.Live l = grant(t);
         if (l != null) {
           unplaced.getOrDefault(l.part(), Set.of()).remove(t);
@@ -571,9 +573,9 @@
       }
     }
     if (next.isEmpty()) {
-      on.remove(machine);
+      tasksByMachine.remove(machine);
     } else {
-      on.put(machine, next);
+      tasksByMachine.put(machine, next);
     }
     Entry<Machine> e = machines.get(machine);
     if (e != null) {
--- a/src/main/java/org/baygw/control/store/Store.java
+++ b/src/main/java/org/baygw/control/store/Store.java
@@ -23,7 +23,7 @@
 public final class Store {
   /** Urgency of a call, most urgent first. */
   public enum Urgency {
-    HOLD,
+    LEASE,
     CANCEL,
     SUBMIT,
     LAUNCH,
@@ -76,11 +76,11 @@
     this.watchWaitMs = s.workers().watermarkPeriodMs(Constants.WATCH_WAIT_MS);
     this.watchGapMs =
         Math.max(
-            Constants.WATCH_GAP_MS,
+            Constants.WATCH_INTERVAL_MIN_MS,
             Math.round(1000 * all / (s.state().rps() * Constants.WATCH_SHARE)));
     this.syncGapMs =
         Math.max(
-            Constants.SYNC_GAP_MS,
+            Constants.SYNC_INTERVAL_MIN_MS,
             Math.round(1000 * all / (s.state().rps() * Constants.SYNC_SHARE)));
   }
 
@@ -122,7 +122,7 @@
       if (!syncing
           && !syncWaiters.isEmpty()
           && now >= nextSync
-          && now >= waitingSince + Constants.SYNC_WAIT_MS) {
+          && now >= waitingSince + Constants.SYNC_DELAY_MS) {
         sync();
       }
     }
@@ -133,12 +133,12 @@
    * Sets this controller's share of the state service's rate limits: an even share, and an extra
    * one while it is the leader.
    */
-  public void share(boolean leadership) {
+  public void updateShare(boolean leadership) {
     queue.share(leadership);
   }
 
   /** Whether write tokens are running low, so that callers should batch their writes. */
-  public boolean scarce() {
+  public boolean writeTokensLow() {
     return queue.scarce();
   }
 
@@ -148,7 +148,7 @@
    * request's timeout.
    */
   private boolean behind() {
-    return clock.now() - lastCurrent > Constants.BEHIND_MS;
+    return clock.now() - lastCurrent > Constants.RELIST_AFTER_MS;
   }
 
   /** Sends a conditional write; the outcome is REFUSED if no token is free within waitMs. */
@@ -159,7 +159,7 @@
         "POST",
         "/txn",
         Json.bytes(t.toJson()),
-        t.writes(),
+        t.writeCount(),
         waitMs,
         Constants.STATE_TIMEOUT_MS,
         (status, answer) -> outcome(t, asked, status, answer, then));
@@ -170,7 +170,7 @@
     if (status == 200) {
       long rev = Json.parse(answer).path("ledgerRev").asLong();
       // Apply the write at once. The watch repeats it later with the same stamp, without effect.
-      t.then.forEach(
+      t.changes.forEach(
           (k, c) -> {
             if (c.value() == null) {
               view.delete(k, rev);
@@ -198,8 +198,8 @@
    * failed: it is sent again until it certainly succeeds or fails. After a conflict the cache is
    * brought up to date before the callback runs.
    */
-  public void settle(Urgency u, Txn t, long waitMs, Consumer<Boolean> then) {
-    settle(u, t, waitMs, false, then);
+  public void txnWithRetry(Urgency u, Txn t, long waitMs, Consumer<Boolean> then) {
+    txnWithRetry(u, t, waitMs, false, then);
   }
 
   /**
@@ -207,7 +207,7 @@
    * changes that came up during the wait. The builder returns null if nothing is left to write; the
    * callback then gets false.
    */
-  public void settle(Urgency u, Supplier<Txn> late, Consumer<Boolean> then) {
+  public void txnWithRetry(Urgency u, Supplier<Txn> late, Consumer<Boolean> then) {
     queue.addLate(u, late, t -> sendLate(u, t, then), (status, body) -> then.accept(false));
   }
 
@@ -224,7 +224,7 @@
                 o -> settled(u, t, Constants.STATE_TIMEOUT_MS, false, then, o)));
   }
 
-  private void settle(Urgency u, Txn t, long waitMs, boolean doubt, Consumer<Boolean> then) {
+  private void txnWithRetry(Urgency u, Txn t, long waitMs, boolean doubt, Consumer<Boolean> then) {
     txn(u, t, waitMs, outcome -> settled(u, t, waitMs, doubt, then, outcome));
   }
 
@@ -232,25 +232,25 @@
       Urgency u, Txn t, long waitMs, boolean doubt, Consumer<Boolean> then, Outcome outcome) {
     switch (outcome) {
       case OK -> then.accept(true);
-      case CONFLICT -> whenCurrent(() -> then.accept(false));
+      case CONFLICT -> retryUntilCurrent(() -> then.accept(false));
       case REFUSED -> {
         if (doubt) {
-          settle(u, t, waitMs, true, then);
+          txnWithRetry(u, t, waitMs, true, then);
         } else {
           then.accept(false);
         }
       }
-      case UNKNOWN -> settle(u, t, waitMs, true, then);
+      case UNKNOWN -> txnWithRetry(u, t, waitMs, true, then);
     }
   }
 
-  private void whenCurrent(Runnable then) {
-    current(
+  private void retryUntilCurrent(Runnable then) {
+    whenCurrent(
         ok -> {
           if (ok) {
             then.run();
           } else {
-            whenCurrent(then);
+            retryUntilCurrent(then);
           }
         });
   }
@@ -272,7 +272,7 @@
    * Calls back with true once the cache has everything that was durable at the time of this call,
    * or with false if it could not be updated.
    */
-  public void current(Consumer<Boolean> then) {
+  public void whenCurrent(Consumer<Boolean> then) {
     waitingSince = syncWaiters.isEmpty() ? clock.now() : waitingSince;
     syncWaiters.add(then);
   }
@@ -280,7 +280,7 @@
   /** Requests an update of the cache without waiting for it. */
   public void refresh() {
     if (syncWaiters.isEmpty()) {
-      current(ok -> {});
+      whenCurrent(ok -> {});
     }
   }
 
@@ -288,7 +288,7 @@
     String path =
         "/kv?under=" + Keys.ROOT + "&page=500" + (after.isEmpty() ? "" : "&after=" + after);
     request(
-        Urgency.HOLD,
+        Urgency.LEASE,
         "GET",
         path,
         null,
--- a/src/main/java/org/baygw/control/store/Txn.java
+++ b/src/main/java/org/baygw/control/store/Txn.java
@@ -12,48 +12,48 @@
   /** A put, attached to a lease unless the lease is 0, or a delete if the value is null. */
   record Change(JsonNode value, long hold) {}
 
-  private final Map<String, Long> when = new LinkedHashMap<>();
-  final Map<String, Change> then = new LinkedHashMap<>();
+  private final Map<String, Long> conditions = new LinkedHashMap<>();
+  final Map<String, Change> changes = new LinkedHashMap<>();
 
   public Txn when(String key, long stamp) {
-    when.put(key, stamp);
+    conditions.put(key, stamp);
     return this;
   }
 
   public Txn put(String key, JsonNode value) {
-    then.put(key, new Change(value, 0));
+    changes.put(key, new Change(value, 0));
     return this;
   }
 
-  public Txn put(String key, JsonNode value, long hold) {
-    then.put(key, new Change(value, hold));
+  public Txn put(String key, JsonNode value, long leaseId) {
+    changes.put(key, new Change(value, leaseId));
     return this;
   }
 
   public Txn delete(String key) {
-    then.put(key, new Change(null, 0));
+    changes.put(key, new Change(null, 0));
     return this;
   }
 
   /** Keys that the write puts or deletes. */
-  public java.util.Set<String> then() {
-    return then.keySet();
+  public java.util.Set<String> keys() {
+    return changes.keySet();
   }
 
-  public int conditions() {
-    return when.size();
+  public int conditionCount() {
+    return conditions.size();
   }
 
-  public int writes() {
-    return then.size();
+  public int writeCount() {
+    return changes.size();
   }
 
   ObjectNode toJson() {
     ObjectNode n = Json.object();
     ArrayNode w = n.putArray("when");
-    when.forEach((k, s) -> w.addObject().put("key", k).put("stamp", s));
+    conditions.forEach((k, s) -> w.addObject().put("key", k).put("stamp", s));
     ArrayNode t = n.putArray("then");
-    then.forEach(
+    changes.forEach(
         (k, c) -> {
           if (c.value() == null) {
             t.addObject().put("delete", k);
--- a/src/main/java/org/baygw/control/workers/CancellationDeadline.java
+++ b/src/main/java/org/baygw/control/workers/CancellationDeadline.java
@@ -105,9 +105,9 @@
     boolean outage = watermark.outageForMost();
     Set<String> pending = new HashSet<>();
     Set<String> due = new LinkedHashSet<>();
-    for (StateCache.Entry<Job> job : view.active.values()) {
+    for (StateCache.Entry<Job> job : view.activeJobs.values()) {
       String id = job.value().spec().id();
-      if (view.cancelled(id)) {
+      if (view.isCancelled(id)) {
         double share = share(id);
         for (Map.Entry<TaskId, Set<String>> task : placements(id).entrySet()) {
           for (Machine machine : holding(task.getKey(), task.getValue())) {
@@ -172,7 +172,7 @@
       for (StateCache.Entry<Progress> chunk : chunks.values()) {
         for (int index : chunk.value().live.keySet()) {
           TaskId task = new TaskId(job, index);
-          found.put(task, view.places.getOrDefault(task, Set.of()));
+          found.put(task, view.taskMachines.getOrDefault(task, Set.of()));
         }
       }
     }
--- a/src/main/java/org/baygw/control/workers/EndedTasks.java
+++ b/src/main/java/org/baygw/control/workers/EndedTasks.java
@@ -25,13 +25,13 @@
     forget(
         r.done(),
         (job, i, attempt) -> {
-          Progress p = view.written(job, i / Constants.CHUNK_TASKS);
+          Progress p = view.storedProgress(job, i / Constants.CHUNK_TASKS);
           return p == null || p.done.get(i);
         });
     forget(
         r.back(),
         (job, i, attempt) -> {
-          Progress p = view.written(job, i / Constants.CHUNK_TASKS);
+          Progress p = view.storedProgress(job, i / Constants.CHUNK_TASKS);
           return p == null || !p.isLive(i, attempt);
         });
   }
--- a/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
+++ b/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
@@ -102,7 +102,7 @@
         continue;
       }
       long since = unplacedSince.computeIfAbsent(t, k -> now);
-      boolean over = !view.runs(t.job()) || l.stop();
+      boolean over = !view.shouldRun(t.job()) || l.stop();
       JobSpec s = over ? null : j.value().spec();
       MachineCapacity r = null;
       boolean again = false;
--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -134,7 +134,7 @@
     }
 
     int writes() {
-      return txn.writes() + touched.size();
+      return txn.writeCount() + touched.size();
     }
 
     boolean changed() {
@@ -151,7 +151,7 @@
         bytes += size(other);
       }
       return touched.size() < mostPagesWritten()
-          && bytes < Constants.MAX_BODY * Constants.RECORD_WRITE_SHARE
+          && bytes < Constants.MAX_BODY_BYTES * Constants.RECORD_WRITE_SHARE
           && writes() < settings.state().txnOps();
     }
 
@@ -180,7 +180,7 @@
 
     Map<TaskId, Integer> list(String machine) {
       touch(page(machine));
-      return lists.computeIfAbsent(machine, k -> new LinkedHashMap<>(view.on(machine)));
+      return lists.computeIfAbsent(machine, k -> new LinkedHashMap<>(view.tasksOn(machine)));
     }
 
     void note(
@@ -266,12 +266,12 @@
     }
     long pace =
         Constants.RECORD_PACE_MS + Constants.RECORD_PACE_MS_A_PAGE * (mostPagesWritten() - 1);
-    if (store.scarce() && now < lastWrite + pace) {
+    if (store.writeTokensLow() && now < lastWrite + pace) {
       return; // what ends meanwhile shares the write
     }
     queued = true;
     Draft[] made = new Draft[1];
-    store.settle(
+    store.txnWithRetry(
         Store.Urgency.LAUNCH,
         () -> {
           made[0] = writing ? null : make();
@@ -360,7 +360,7 @@
       bytes += d.touched.contains(page) ? 0 : d.size(page);
       if (after > before
           && (d.writes() + writes > settings.state().txnOps()
-              || bytes > Constants.MAX_BODY * Constants.RECORD_WRITE_SHARE)) {
+              || bytes > Constants.MAX_BODY_BYTES * Constants.RECORD_WRITE_SHARE)) {
         break;
       }
       d.touch(page);
@@ -383,7 +383,7 @@
     int most = 0;
     int sum = 0;
     for (int page = 0; page < pages; page++) {
-      int bytes = view.pages().onBytes(part, page);
+      int bytes = view.pages().assignmentBytes(part, page);
       most = Math.max(most, bytes);
       sum += bytes;
     }
@@ -440,7 +440,7 @@
       condition = null;
       if ((d.lists.containsKey(name) ? d.lists.get(name) : m.tasks()).isEmpty()) {
         // One change is left for the page that the machine's condition comes off.
-        if (d.txn.writes() < Constants.DELETES_PER_WRITE
+        if (d.txn.writeCount() < Constants.DELETES_PER_WRITE
             && d.writes() + 1 < settings.state().txnOps()) {
           d.txn.delete(Keys.machine(name));
         } else {
@@ -465,7 +465,7 @@
     String name = rounds.target(t, from.name);
     StateCache.Entry<Machine> e = name == null ? null : view.machines.get(name);
     StateCache.Entry<Job> j = view.jobs.get(t.job());
-    if (e == null || d.target != null || !view.runs(t.job()) || view.grant(t).stop()) {
+    if (e == null || d.target != null || !view.shouldRun(t.job()) || view.grant(t).stop()) {
       return false;
     }
     Machine to = e.value();
@@ -499,7 +499,7 @@
       String first = Keys.record(to.part(), 0);
       String key = Keys.record(to.part(), page);
       PartitionRecord next = view.pages().get(to.part(), page).copy();
-      Map<TaskId, Integer> on = new LinkedHashMap<>(view.on(name));
+      Map<TaskId, Integer> on = new LinkedHashMap<>(view.tasksOn(name));
       on.put(t, attempt);
       next.on().put(name, PartitionRecord.tasks(on));
       d.txn
@@ -523,7 +523,7 @@
       StateCache.Entry<Job> j = view.jobs.get(job);
       if (j == null
           || !j.value().open()
-          || view.done(job) + ended.get(job) < j.value().spec().tasks()) {
+          || view.doneCount(job) + ended.get(job) < j.value().spec().tasks()) {
         continue;
       }
       int writes = 1 + j.value().chunks();
@@ -549,7 +549,10 @@
 
   private void place(Draft d) {
     int conditions =
-        settings.state().txnOps() * 4 - d.txn.conditions() - mostPagesWritten() - OTHER_CONDITIONS;
+        settings.state().txnOps() * 4
+            - d.txn.conditionCount()
+            - mostPagesWritten()
+            - OTHER_CONDITIONS;
     FirstFitPlacer.Plan plan = placer.plan(part, claim, moving, conditions, d);
     plan.back()
         .forEach(
--- a/src/main/java/org/baygw/control/workers/TaskFailures.java
+++ b/src/main/java/org/baygw/control/workers/TaskFailures.java
@@ -101,6 +101,6 @@
       Backoff backoff = backoffs.get(id);
       return backoff == null || backoff.machines.size() < 2;
     }
-    return job.value().state() == Job.State.DONE || view.done(id) > 0;
+    return job.value().state() == Job.State.DONE || view.doneCount(id) > 0;
   }
 }
--- a/src/main/java/org/baygw/control/workers/TerminationEvidence.java
+++ b/src/main/java/org/baygw/control/workers/TerminationEvidence.java
@@ -25,7 +25,7 @@
   TerminationEvidence(Clock clock, Settings settings, StateCache view) {
     this.clock = clock;
     this.view = view;
-    this.leaseMs = (long) (settings.workers().leaseS() * 1000 * (1 + Constants.DRIFT));
+    this.leaseMs = (long) (settings.workers().leaseS() * 1000 * (1 + Constants.CLOCK_DRIFT));
   }
 
   long leaseMs() {
@@ -82,14 +82,14 @@
     // task
     // stays on record until the machine is heard of or returned, or the next owner would not know
     // of it.
-    return absent && (a.leaseOver ? !view.cancelled(t.job()) : !wanted(t, attempt, m))
+    return absent && (a.leaseOver ? !view.isCancelled(t.job()) : !wanted(t, attempt, m))
         ? End.BACK
         : null;
   }
 
   /** Whether the task is to run on under this attempt. */
   boolean wanted(TaskId t, int attempt, Machine m) {
-    if (!view.runs(t.job())) {
+    if (!view.shouldRun(t.job())) {
       return false;
     }
     Progress.Live l = view.grant(t);
--- a/src/main/java/org/baygw/control/workers/WorkerCommands.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCommands.java
@@ -231,7 +231,7 @@
   private Double grace(
       WorkerSession a, TaskId t, WorkerCodec.Seen s, Machine m, boolean ours, PartitionWriter l) {
     StateCache.Entry<Job> j = view.jobs.get(t.job());
-    boolean runs = view.runs(t.job());
+    boolean runs = view.shouldRun(t.job());
     if (!ours || !runs) {
       return l.moving(t) && runs ? null : Double.valueOf(0);
     }
--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -183,8 +183,8 @@
     reachability.tick();
     commands.step();
     boolean whole = now >= nextPass || ownershipChanged();
-    if (whole || view.changes() != seenChanges) {
-      seenChanges = view.changes();
+    if (whole || view.changeCount() != seenChanges) {
+      seenChanges = view.changeCount();
       view.takeChangedMachines().forEach(m -> lookAt(m, true));
       if (whole) {
         nextPass = now + Constants.LOOK_MS;
@@ -491,7 +491,7 @@
             List.of(),
             part);
     a.busy = true;
-    store.settle(
+    store.txnWithRetry(
         Store.Urgency.LAUNCH,
         new Txn()
             .when(Keys.machine(m.name()), 0)
--- a/src/test/java/org/baygw/control/sim/SimulatedCluster.java
+++ b/src/test/java/org/baygw/control/sim/SimulatedCluster.java
@@ -233,7 +233,7 @@
         return;
       }
       core.beginToEnd();
-      awaitEnd(life, now + Constants.HANDOVER_MOST_MS);
+      awaitEnd(life, now + Constants.HANDOVER_TIMEOUT_MS);
     }
 
     private void awaitEnd(int mine, long until) {
