--- a/src/main/java/org/baygw/control/store/PartitionPages.java
+++ b/src/main/java/org/baygw/control/store/PartitionPages.java
@@ -10,7 +10,7 @@
 /** Cached pages of all partitions' records, with their sizes. */
 public final class PartitionPages {
   /** A page with the estimated sizes of its assignments and of its ended tasks. */
-  private record Page(PartitionRecord record, int onBytes, int endedBytes) {
+  private record Page(PartitionRecord record, int assignmentBytes, int endedBytes) {
     private static final Page EMPTY = of(PartitionRecord.EMPTY);
 
     static Page of(PartitionRecord record) {
@@ -18,7 +18,7 @@
     }
   }
 
-  private static final TreeMap<Integer, Page> NONE = new TreeMap<>();
+  private static final TreeMap<Integer, Page> NO_PAGES = new TreeMap<>();
 
   private final Map<Partition, TreeMap<Integer, Page>> pages = new HashMap<>();
 
@@ -35,12 +35,12 @@
   /** Estimated size of a page. */
   public int bytes(Partition part, int page) {
     Page found = page(part, page);
-    return found.onBytes() + found.endedBytes();
+    return found.assignmentBytes() + found.endedBytes();
   }
 
   /** Estimated size of the machines' tasks and conditions on a page. */
   public int assignmentBytes(Partition part, int page) {
-    return page(part, page).onBytes();
+    return page(part, page).assignmentBytes();
   }
 
   /** Estimated size of the ended tasks on a page. */
@@ -49,7 +49,7 @@
   }
 
   private Page page(Partition part, int page) {
-    return pages.getOrDefault(part, NONE).getOrDefault(page, Page.EMPTY);
+    return pages.getOrDefault(part, NO_PAGES).getOrDefault(page, Page.EMPTY);
   }
 
   /** Replaces a page and returns the former one. */
@@ -62,9 +62,9 @@
    * First result from the pages of a partition's record that is not null, or null. A machine is on
    * one page only, except while all keys are being listed again.
    */
-  String find(Partition part, Function<PartitionRecord, String> what) {
-    for (Page page : pages.getOrDefault(part, NONE).values()) {
-      String found = what.apply(page.record());
+  String find(Partition part, Function<PartitionRecord, String> lookup) {
+    for (Page page : pages.getOrDefault(part, NO_PAGES).values()) {
+      String found = lookup.apply(page.record());
       if (found != null) {
         return found;
       }
--- a/src/main/java/org/baygw/control/store/RequestQueue.java
+++ b/src/main/java/org/baygw/control/store/RequestQueue.java
@@ -25,34 +25,34 @@
   private static final byte[] NO_BODY = new byte[0];
 
   /** A request waiting for tokens. */
-  private sealed interface Waiting {
+  private sealed interface QueuedRequest {
     long deadline();
 
-    Outbox.Callback then();
+    Outbox.Callback callback();
   }
 
   /** A complete request, with the number of writes that it counts as. */
-  private record Ready(
+  private record CompleteRequest(
       String method,
       String path,
       byte[] body,
-      int changes,
+      int writeCount,
       long deadline,
       long timeoutMs,
-      Outbox.Callback then)
-      implements Waiting {}
+      Outbox.Callback callback)
+      implements QueuedRequest {}
 
   /** A write that is built only when tokens for it are available. */
-  private record Late(
-      Supplier<Txn> maker, Consumer<Txn> sender, long deadline, Outbox.Callback then)
-      implements Waiting {}
+  private record DeferredWrite(
+      Supplier<Txn> builder, Consumer<Txn> sender, long deadline, Outbox.Callback callback)
+      implements QueuedRequest {}
 
   private final Clock clock;
   private final Outbox out;
   private final Settings settings;
-  private final TokenBucket requests = new TokenBucket(1, 1);
-  private final TokenBucket changes = new TokenBucket(1, 1);
-  private final List<Deque<Waiting>> queues = new ArrayList<>();
+  private final TokenBucket requestTokens = new TokenBucket(1, 1);
+  private final TokenBucket writeTokens = new TokenBucket(1, 1);
+  private final List<Deque<QueuedRequest>> queues = new ArrayList<>();
   private long lastContact = Long.MIN_VALUE / 2;
 
   RequestQueue(Clock clock, Outbox out, Settings settings) {
@@ -62,7 +62,7 @@
     for (int i = 0; i < Store.Urgency.values().length; i++) {
       queues.add(new ArrayDeque<>());
     }
-    share(false);
+    updateShare(false);
   }
 
   /** Send time of the latest request that the state service answered, 429 and 5xx aside. */
@@ -71,24 +71,24 @@
   }
 
   /** Takes an even share of the service's rate limits, and an extra one if this is the leader. */
-  void share(boolean leads) {
+  void updateShare(boolean isLeader) {
     double shares = settings.peers().size() + 1 + Constants.LEADER_EXTRA_SHARES;
-    double own = (1.0 + (leads ? Constants.LEADER_EXTRA_SHARES : 0)) / shares;
+    double own = (1.0 + (isLeader ? Constants.LEADER_EXTRA_SHARES : 0)) / shares;
     double share = Math.min(Constants.STATE_SHARE_MAX, own * Constants.STATE_OVERCOMMIT);
     double requestsPerS = settings.state().rps() * share;
-    double changesPerS = settings.state().writeRps() * share;
-    requests.rate(requestsPerS, requestsPerS);
-    changes.rate(changesPerS, changesPerS);
+    double writesPerS = settings.state().writeRps() * share;
+    requestTokens.rate(requestsPerS, requestsPerS);
+    writeTokens.rate(writesPerS, writesPerS);
   }
 
   /** Whether write tokens are running low. */
-  boolean scarce() {
-    return changes.fullness(clock.now()) < Constants.WRITE_TOKENS_LOW;
+  boolean writeTokensLow() {
+    return writeTokens.fullness(clock.now()) < Constants.WRITE_TOKENS_LOW;
   }
 
   /** Takes a token, if one is available, for a request that the caller sends at once. */
   boolean takeToken() {
-    return requests.take(clock.now(), 1);
+    return requestTokens.take(clock.now(), 1);
   }
 
   /** Queues a request; its status is NOT_SENT if no token is free within waitMs. */
@@ -97,31 +97,37 @@
       String method,
       String path,
       byte[] body,
-      int changeCount,
+      int writeCount,
       long waitMs,
       long timeoutMs,
-      Outbox.Callback then) {
+      Outbox.Callback callback) {
     long deadline = clock.now() + waitMs;
-    queue(urgency).add(new Ready(method, path, body, changeCount, deadline, timeoutMs, then));
-    pump();
+    queue(urgency)
+        .add(new CompleteRequest(method, path, body, writeCount, deadline, timeoutMs, callback));
+    dispatch();
   }
 
   /** Queues a write that is built when tokens are available; null means nothing to write. */
-  void addLate(
-      Store.Urgency urgency, Supplier<Txn> maker, Consumer<Txn> sender, Outbox.Callback then) {
+  void addDeferred(
+      Store.Urgency urgency,
+      Supplier<Txn> builder,
+      Consumer<Txn> sender,
+      Outbox.Callback callback) {
     queue(urgency)
-        .add(new Late(maker, sender, clock.now() + Constants.DEFERRED_WRITE_WAIT_MS, then));
-    pump();
+        .add(
+            new DeferredWrite(
+                builder, sender, clock.now() + Constants.DEFERRED_WRITE_WAIT_MS, callback));
+    dispatch();
   }
 
-  private Deque<Waiting> queue(Store.Urgency urgency) {
+  private Deque<QueuedRequest> queue(Store.Urgency urgency) {
     return queues.get(urgency.ordinal());
   }
 
   /** Sends queued requests, most urgent first, as long as there are tokens. */
-  void pump() {
-    for (Deque<Waiting> queue : queues) {
-      while (!queue.isEmpty() && serve(queue)) {
+  void dispatch() {
+    for (Deque<QueuedRequest> queue : queues) {
+      while (!queue.isEmpty() && dispatchFirst(queue)) {
         // Continue with the next request of the same urgency.
       }
       if (!queue.isEmpty()) {
@@ -131,46 +137,47 @@
   }
 
   /** Sends or expires the first request of a queue; false if it keeps waiting for tokens. */
-  private boolean serve(Deque<Waiting> queue) {
+  private boolean dispatchFirst(Deque<QueuedRequest> queue) {
     long now = clock.now();
-    Waiting first = queue.peek();
+    QueuedRequest first = queue.peek();
     if (now > first.deadline()) {
       queue.poll();
-      first.then().done(Outbox.NOT_SENT, NO_BODY);
+      first.callback().done(Outbox.NOT_SENT, NO_BODY);
       return true;
     }
-    if (first instanceof Late late) {
-      if (!changes.ready(now) || !requests.ready(now)) {
+    if (first instanceof DeferredWrite deferred) {
+      if (!writeTokens.ready(now) || !requestTokens.ready(now)) {
         return false;
       }
       queue.poll();
-      makeAndSend(late);
+      buildAndSend(deferred);
       return true;
     }
-    Ready ready = (Ready) first;
-    if (ready.changes() > 0 && !changes.take(now, ready.changes()) || !requests.take(now, 1)) {
+    CompleteRequest request = (CompleteRequest) first;
+    if (request.writeCount() > 0 && !writeTokens.take(now, request.writeCount())
+        || !requestTokens.take(now, 1)) {
       return false;
     }
     queue.poll();
-    send(ready.method(), ready.path(), ready.body(), ready.timeoutMs(), ready.then());
+    send(request.method(), request.path(), request.body(), request.timeoutMs(), request.callback());
     return true;
   }
 
-  private void makeAndSend(Late late) {
-    Txn txn = made(late);
+  private void buildAndSend(DeferredWrite deferred) {
+    Txn txn = build(deferred);
     if (txn == null) {
-      late.then().done(Outbox.NOT_SENT, NO_BODY);
+      deferred.callback().done(Outbox.NOT_SENT, NO_BODY);
     } else {
-      changes.charge(txn.writeCount());
-      requests.charge(1);
-      late.sender().accept(txn);
+      writeTokens.charge(txn.writeCount());
+      requestTokens.charge(1);
+      deferred.sender().accept(txn);
     }
   }
 
   /** Builds the write; null on an exception too, so that the callback still runs. */
-  private static Txn made(Late late) {
+  private static Txn build(DeferredWrite deferred) {
     try {
-      return late.maker().get();
+      return deferred.builder().get();
     } catch (RuntimeException e) {
       LOG.error("failed to build a deferred write", e);
       return null;
@@ -178,13 +185,13 @@
   }
 
   /** Sends a conditional write at once. */
-  void send(Txn txn, Outbox.Callback then) {
-    send("POST", "/txn", Json.bytes(txn.toJson()), Constants.STATE_TIMEOUT_MS, then);
+  void send(Txn txn, Outbox.Callback callback) {
+    send("POST", "/txn", Json.bytes(txn.toJson()), Constants.STATE_TIMEOUT_MS, callback);
   }
 
   /** Sends a request at once. */
-  void send(String method, String path, byte[] body, long timeoutMs, Outbox.Callback then) {
-    long sent = clock.now();
+  void send(String method, String path, byte[] body, long timeoutMs, Outbox.Callback callback) {
+    long sentAt = clock.now();
     out.call(
         settings.stateAddr(),
         method,
@@ -193,14 +200,14 @@
         timeoutMs,
         (status, answer) -> {
           if (status == 429 || status == 503) {
-            requests.rest(clock.now(), Constants.RATE_LIMIT_BACKOFF_MS);
-            changes.rest(clock.now(), Constants.RATE_LIMIT_BACKOFF_MS);
+            requestTokens.rest(clock.now(), Constants.RATE_LIMIT_BACKOFF_MS);
+            writeTokens.rest(clock.now(), Constants.RATE_LIMIT_BACKOFF_MS);
           } else if (status > 0 && status < 500) {
             // Not the arrival time: a process that was suspended reads old answers when it resumes,
             // and would consider itself connected during an outage that began meanwhile.
-            lastContact = Math.max(lastContact, sent);
+            lastContact = Math.max(lastContact, sentAt);
           }
-          then.done(status, answer);
+          callback.done(status, answer);
         });
   }
 }
--- a/src/main/java/org/baygw/control/store/StateCache.java
+++ b/src/main/java/org/baygw/control/store/StateCache.java
@@ -54,16 +54,13 @@
     GONE
   }
 
-  /**
-   * Ended tasks of one job on one page of a partition's record: completed tasks, and for the others
-   * the attempt that ended.
-   */
-  private record Ended(BitSet done, Map<Integer, Integer> back) {}
+  /** Ended tasks of a job on a page: completed ones, and the ended attempts of the others. */
+  private record PageEndedTasks(BitSet done, Map<Integer, Integer> requeued) {}
 
   private static final Logger LOG = LoggerFactory.getLogger(StateCache.class);
 
   private final Map<String, Long> stamps = new HashMap<>();
-  private final Map<String, Long> tombs = new HashMap<>();
+  private final Map<String, Long> tombstones = new HashMap<>();
   private long revision;
   private long changeCount;
 
@@ -96,14 +93,14 @@
   /** Progress as stored, by key, without the ended tasks in the partitions' records. */
   private final Map<String, Progress> storedProgress = new HashMap<>();
 
-  private final Map<Partition, Set<String>> machinesOf = new HashMap<>();
+  private final Map<Partition, Set<String>> machinesByPartition = new HashMap<>();
   private final PartitionPages pages = new PartitionPages();
   private final Map<String, Map<TaskId, Integer>> tasksByMachine = new HashMap<>();
 
   /** Ended tasks, by job and key of the page of a partition's record. */
-  private final Map<String, Map<String, Ended>> ended = new HashMap<>();
+  private final Map<String, Map<String, PageEndedTasks>> endedTasks = new HashMap<>();
 
-  private final Map<Partition, Map<String, Drain>> drainsOf = new HashMap<>();
+  private final Map<Partition, Map<String, Drain>> drainsByPartition = new HashMap<>();
 
   /** Tasks granted to each partition that are on no machine. */
   private final Map<Partition, Set<TaskId>> unplaced = new HashMap<>();
@@ -117,10 +114,10 @@
   private final TreeMap<Long, Set<String>> cancelledByRevision = new TreeMap<>();
 
   /** A cancellation reported by a peer: its revision, and the time of day when it was written. */
-  private record Told(long stamp, long cancelledMs) {}
+  private record PeerCancellation(long stamp, long cancelledMs) {}
 
   /** Durable cancellations reported by peers, of revisions that this cache has not reached. */
-  private final Map<String, Told> peerCancellations = new HashMap<>();
+  private final Map<String, PeerCancellation> peerCancellations = new HashMap<>();
 
   public long revision() {
     return revision;
@@ -154,9 +151,9 @@
   }
 
   public Progress progress(String job, int chunk) {
-    TreeMap<Integer, Entry<Progress>> m = progress.get(job);
-    Entry<Progress> e = m == null ? null : m.get(chunk);
-    return e == null ? null : e.value();
+    TreeMap<Integer, Entry<Progress>> chunks = progress.get(job);
+    Entry<Progress> entry = chunks == null ? null : chunks.get(chunk);
+    return entry == null ? null : entry.value();
   }
 
   /**
@@ -185,26 +182,26 @@
 
   /** Time of day, in ms, at which the cancellation of a cancelled job was written. */
   public long cancelledMs(String job) {
-    Told told = peerCancellations.get(job);
+    PeerCancellation reported = peerCancellations.get(job);
     Entry<Job> j = jobs.get(job);
-    return told != null ? told.cancelledMs() : j == null ? 0 : j.value().cancelledMs();
+    return reported != null ? reported.cancelledMs() : j == null ? 0 : j.value().cancelledMs();
   }
 
   /** Adds a cancellation that a peer reported, which became durable at the revision. */
   public void addPeerCancellation(String job, long stamp, long cancelledMs) {
     if (stamp > revision
-        && peerCancellations.putIfAbsent(job, new Told(stamp, cancelledMs)) == null) {
+        && peerCancellations.putIfAbsent(job, new PeerCancellation(stamp, cancelledMs)) == null) {
       changeCount++;
-      lookAtMachinesOf(job);
+      markMachinesChanged(job);
     }
   }
 
   /** Jobs in this cache that were cancelled after a revision, by revision of the cancellation. */
-  public SortedMap<Long, Set<String>> cancelledAfter(long rev) {
-    return cancelledByRevision.tailMap(rev, false);
+  public SortedMap<Long, Set<String>> cancelledAfter(long revision) {
+    return cancelledByRevision.tailMap(revision, false);
   }
 
-  private void lookAtMachinesOf(String job) {
+  private void markMachinesChanged(String job) {
     for (Entry<Progress> c : progress.getOrDefault(job, NO_CHUNKS).values()) {
       for (int i : c.value().live.keySet()) {
         changedMachines.addAll(taskMachines.getOrDefault(new TaskId(job, i), Set.of()));
@@ -217,13 +214,13 @@
     return pages;
   }
 
-  private String condition(Partition p, String machine) {
-    return pages.find(p, r -> r.conditions().get(machine));
+  private String condition(Partition part, String machine) {
+    return pages.find(part, r -> r.conditions().get(machine));
   }
 
   /** Names of a partition's machines. */
-  public Set<String> machinesOf(Partition p) {
-    return machinesOf.getOrDefault(p, Set.of());
+  public Set<String> machinesOf(Partition part) {
+    return machinesByPartition.getOrDefault(part, Set.of());
   }
 
   /** Tasks on a machine by its partition's record, with their attempts. */
@@ -231,58 +228,58 @@
     return tasksByMachine.getOrDefault(machine, Map.of());
   }
 
-  public int grantedCount(Partition p) {
-    return grantedCounts.getOrDefault(p, 0);
+  public int grantedCount(Partition part) {
+    return grantedCounts.getOrDefault(part, 0);
   }
 
-  public Set<TaskId> unplaced(Partition p) {
-    return unplaced.getOrDefault(p, Set.of());
+  public Set<TaskId> unplaced(Partition part) {
+    return unplaced.getOrDefault(part, Set.of());
   }
 
   /** Number of a job's completed tasks, including those not yet in its stored progress. */
   public int doneCount(String job) {
-    int n = 0;
-    for (Entry<Progress> p : progress.getOrDefault(job, NO_CHUNKS).values()) {
-      n += p.value().done.cardinality();
+    int count = 0;
+    for (Entry<Progress> chunk : progress.getOrDefault(job, NO_CHUNKS).values()) {
+      count += chunk.value().done.cardinality();
     }
-    return n;
+    return count;
   }
 
   private static final TreeMap<Integer, Entry<Progress>> NO_CHUNKS = new TreeMap<>();
 
   /** Takes the machines to check since the last call: those changed or with a task to stop. */
   public Set<String> takeChangedMachines() {
-    Set<String> out = changedMachines;
+    Set<String> changed = changedMachines;
     changedMachines = new LinkedHashSet<>();
-    return out;
+    return changed;
   }
 
-  private void grantEnds(TaskId t, Progress.Live l) {
-    grantedCounts.merge(l.part(), -1, Integer::sum);
-    unplaced.getOrDefault(l.part(), Set.of()).remove(t);
+  private void grantRemoved(TaskId task, Progress.Live grant) {
+    grantedCounts.merge(grant.part(), -1, Integer::sum);
+    unplaced.getOrDefault(grant.part(), Set.of()).remove(task);
   }
 
-  private void grantBegins(TaskId t, Progress.Live l) {
-    grantedCounts.merge(l.part(), 1, Integer::sum);
-    Set<String> at = taskMachines.get(t);
-    if (at == null) {
-      unplaced.computeIfAbsent(l.part(), k -> new HashSet<>()).add(t);
-    } else if (l.stop()) {
-      changedMachines.addAll(at);
+  private void grantAdded(TaskId task, Progress.Live grant) {
+    grantedCounts.merge(grant.part(), 1, Integer::sum);
+    Set<String> assigned = taskMachines.get(task);
+    if (assigned == null) {
+      unplaced.computeIfAbsent(grant.part(), k -> new HashSet<>()).add(task);
+    } else if (grant.stop()) {
+      changedMachines.addAll(assigned);
     }
   }
 
   /** Grant of the task, or null. */
-  public Progress.Live grant(TaskId t) {
-    Progress p = progress(t.job(), t.index() / Constants.CHUNK_TASKS);
-    return p == null ? null : p.live.get(t.index());
+  public Progress.Live grant(TaskId task) {
+    Progress p = progress(task.job(), task.index() / Constants.CHUNK_TASKS);
+    return p == null ? null : p.live.get(task.index());
   }
 
   /** Notes that all changes up to the revision have been applied. */
-  void reached(long rev) {
+  void advanceTo(long rev) {
     if (rev > revision) {
       revision = rev;
-      tombs.values().removeIf(s -> s <= rev);
+      tombstones.values().removeIf(s -> s <= rev);
       peerCancellations.values().removeIf(t -> t.stamp() <= rev);
     }
   }
@@ -292,7 +289,7 @@
   }
 
   void put(String key, JsonNode value, long stamp) {
-    if (stamp <= stamps.getOrDefault(key, 0L) || stamp <= tombs.getOrDefault(key, 0L)) {
+    if (stamp <= stamps.getOrDefault(key, 0L) || stamp <= tombstones.getOrDefault(key, 0L)) {
       return;
     }
     stamps.put(key, stamp);
@@ -300,46 +297,45 @@
     try {
       apply(key, value, stamp);
     } catch (RuntimeException e) {
-      // A malformed value written by another process must not stop the controller. Its stamp is
-      // kept nevertheless.
+      // A malformed value of another writer must not stop the controller; its stamp is kept.
       LOG.error("failed to apply the value of {}: {}", key, e.toString());
     }
   }
 
   void delete(String key, long stamp) {
-    if (stamp <= stamps.getOrDefault(key, 0L) || stamp <= tombs.getOrDefault(key, 0L)) {
+    if (stamp <= stamps.getOrDefault(key, 0L) || stamp <= tombstones.getOrDefault(key, 0L)) {
       return;
     }
     stamps.remove(key);
     if (stamp > revision) {
-      tombs.put(key, stamp);
+      tombstones.put(key, stamp);
     }
     changeCount++;
     apply(key, null, stamp);
   }
 
-  private void apply(String key, JsonNode v, long stamp) {
-    String[] p = key.split("/", 4);
-    String id = p.length > 2 ? p[2] : "";
-    switch (p.length > 1 ? p[1] : "") {
+  private void apply(String key, JsonNode value, long stamp) {
+    String[] segments = key.split("/", 4);
+    String id = segments.length > 2 ? segments[2] : "";
+    switch (segments.length > 1 ? segments[1] : "") {
       case "job" -> {
-        set(jobs, id, v == null ? null : Records.job(id, v), stamp);
-        activate(id);
-        if (v != null && !jobs.get(id).value().open()) {
+        set(jobs, id, value == null ? null : Records.job(id, value), stamp);
+        updateActive(id);
+        if (value != null && !jobs.get(id).value().open()) {
           if (jobs.get(id).value().state() == Job.State.CANCELLED) {
             cancelledByRevision.computeIfAbsent(stamp, k -> new HashSet<>()).add(id);
           }
-          lookAtMachinesOf(id);
+          markMachinesChanged(id);
         }
       }
-      case "prog" -> progressChanged(key, id, Integer.parseInt(p[3]), v, stamp);
+      case "prog" -> progressChanged(key, id, Integer.parseInt(segments[3]), value, stamp);
       case "run" ->
           recordChanged(
               Partition.parse(id),
-              p.length > 3 ? Integer.parseInt(p[3]) : 0,
-              v == null ? PartitionRecord.EMPTY : Records.record(v));
+              segments.length > 3 ? Integer.parseInt(segments[3]) : 0,
+              value == null ? PartitionRecord.EMPTY : Records.record(value));
       case "machine" -> {
-        Machine next = v == null ? null : Records.machine(id, v, partitionsPerZone);
+        Machine next = value == null ? null : Records.machine(id, value, partitionsPerZone);
         Entry<Machine> old = machines.get(id);
         if (next != null) {
           String condition = condition(next.part(), id);
@@ -352,19 +348,22 @@
         }
         set(machines, id, next, stamp);
         if (next != null) {
-          machinesOf.computeIfAbsent(next.part(), k -> new TreeSet<>()).add(id);
+          machinesByPartition.computeIfAbsent(next.part(), k -> new TreeSet<>()).add(id);
         } else if (old != null) {
-          machinesOf.get(old.value().part()).remove(id);
+          machinesByPartition.get(old.value().part()).remove(id);
         }
         changedMachines.add(id);
       }
-      case "layout" -> partitionsPerZone = v == null ? 0 : v.path("partitions_per_zone").asInt();
+      case "layout" ->
+          partitionsPerZone = value == null ? 0 : value.path("partitions_per_zone").asInt();
       case "claim" -> {
         ownershipChangeCount++;
         set(
             claims,
             id,
-            v == null ? null : new Claim(v.path("owner").asText(), v.path("hold").asLong()),
+            value == null
+                ? null
+                : new Claim(value.path("owner").asText(), value.path("hold").asLong()),
             stamp);
       }
       case "member" -> {
@@ -372,96 +371,101 @@
         set(
             members,
             id,
-            v == null
+            value == null
                 ? null
                 : new Member(
-                    v.path("zone").asText(),
-                    v.path("hold").asLong(),
-                    v.path("reaches").asBoolean(true),
-                    v.path("leaving").asBoolean(false)),
+                    value.path("zone").asText(),
+                    value.path("hold").asLong(),
+                    value.path("reaches").asBoolean(true),
+                    value.path("leaving").asBoolean(false)),
             stamp);
       }
-      case "rent" -> set(rentals, id, v == null ? null : Records.rental(v), stamp);
+      case "rent" -> set(rentals, id, value == null ? null : Records.rental(value), stamp);
       case "drain" -> {
         Map<String, Drain> next = new HashMap<>();
-        if (v != null) {
-          v.fields()
+        if (value != null) {
+          value
+              .fields()
               .forEachRemaining(e -> next.put(e.getKey(), Drain.valueOf(e.getValue().asText())));
         }
-        for (String m : drainsOf.getOrDefault(Partition.parse(id), Map.of()).keySet()) {
-          if (!next.containsKey(m)) {
-            drains.remove(m);
-            changedMachines.add(m);
+        for (String name : drainsByPartition.getOrDefault(Partition.parse(id), Map.of()).keySet()) {
+          if (!next.containsKey(name)) {
+            drains.remove(name);
+            changedMachines.add(name);
           }
         }
         next.forEach(
-            (m, d) -> {
-              if (drains.put(m, d) != d) {
-                changedMachines.add(m);
+            (name, drain) -> {
+              if (drains.put(name, drain) != drain) {
+                changedMachines.add(name);
               }
             });
-        drainsOf.put(Partition.parse(id), next);
+        drainsByPartition.put(Partition.parse(id), next);
       }
       case "cordon" -> {
-        if (v == null) {
+        if (value == null) {
           cordons.remove(id);
         } else {
           cordons.add(id);
         }
       }
-      case "types" -> types = v == null ? List.of() : Records.types(v);
+      case "types" -> types = value == null ? List.of() : Records.types(value);
       case "params" ->
           params =
-              v == null ? SchedulingParameters.DEFAULTS : SchedulingParameters.DEFAULTS.with(v);
+              value == null
+                  ? SchedulingParameters.DEFAULTS
+                  : SchedulingParameters.DEFAULTS.with(value);
       default -> LOG.debug("unknown key {}", key);
     }
   }
 
   /** Machines of a partition that are being drained. */
-  public Map<String, Drain> drains(Partition p) {
-    return drainsOf.getOrDefault(p, Map.of());
+  public Map<String, Drain> drains(Partition part) {
+    return drainsByPartition.getOrDefault(part, Map.of());
   }
 
-  private void activate(String id) {
-    Entry<Job> j = jobs.get(id);
-    if (j != null && (j.value().open() || progress.containsKey(id))) {
-      activeJobs.put(id, j);
+  private void updateActive(String job) {
+    Entry<Job> entry = jobs.get(job);
+    if (entry != null && (entry.value().open() || progress.containsKey(job))) {
+      activeJobs.put(job, entry);
     } else {
-      activeJobs.remove(id);
+      activeJobs.remove(job);
     }
   }
 
-  private void progressChanged(String key, String id, int chunk, JsonNode v, long stamp) {
-    TreeMap<Integer, Entry<Progress>> m = progress.computeIfAbsent(id, k -> new TreeMap<>());
-    Progress next = v == null ? null : Records.progress(v);
-    Entry<Progress> old = m.get(chunk);
+  private void progressChanged(String key, String job, int chunk, JsonNode value, long stamp) {
+    TreeMap<Integer, Entry<Progress>> chunks = progress.computeIfAbsent(job, k -> new TreeMap<>());
+    Progress next = value == null ? null : Records.progress(value);
+    Entry<Progress> old = chunks.get(chunk);
     if (old != null) {
-      old.value().live.forEach((i, l) -> grantEnds(new TaskId(id, i), l));
+      old.value().live.forEach((i, l) -> grantRemoved(new TaskId(job, i), l));
     }
     if (next == null) {
       storedProgress.remove(key);
     } else {
       storedProgress.put(key, next);
       next = next.copy();
-      for (Ended e : ended.getOrDefault(id, Map.of()).values()) {
+      for (PageEndedTasks ended : endedTasks.getOrDefault(job, Map.of()).values()) {
         int from = chunk * Constants.CHUNK_TASKS;
         int to = from + Constants.CHUNK_TASKS;
-        for (int i = e.done().nextSetBit(from); i >= 0 && i < to; i = e.done().nextSetBit(i + 1)) {
+        for (int i = ended.done().nextSetBit(from);
+            i >= 0 && i < to;
+            i = ended.done().nextSetBit(i + 1)) {
           next.complete(i);
         }
-        for (Map.Entry<Integer, Integer> b : e.back().entrySet()) {
-          if (next.isLive(b.getKey(), b.getValue())) {
-            next.back(b.getKey());
+        for (Map.Entry<Integer, Integer> entry : ended.requeued().entrySet()) {
+          if (next.isLive(entry.getKey(), entry.getValue())) {
+            next.back(entry.getKey());
           }
         }
       }
-      next.live.forEach((i, l) -> grantBegins(new TaskId(id, i), l));
+      next.live.forEach((i, l) -> grantAdded(new TaskId(job, i), l));
     }
-    set(m, chunk, next, stamp);
-    if (m.isEmpty()) {
-      progress.remove(id);
+    set(chunks, chunk, next, stamp);
+    if (chunks.isEmpty()) {
+      progress.remove(job);
     }
-    activate(id);
+    updateActive(job);
   }
 
   private void recordChanged(Partition part, int page, PartitionRecord next) {
@@ -479,40 +483,42 @@
                 tasksChanged(machine, PartitionRecord.tasks(text));
               }
             });
-    Set<String> fit = new HashSet<>(old.conditions().keySet());
-    fit.addAll(next.conditions().keySet());
-    for (String machine : fit) {
+    Set<String> withCondition = new HashSet<>(old.conditions().keySet());
+    withCondition.addAll(next.conditions().keySet());
+    for (String machine : withCondition) {
       String condition = condition(part, machine);
-      Entry<Machine> e = machines.get(machine);
-      Machine.Condition c =
+      Entry<Machine> entry = machines.get(machine);
+      Machine.Condition nextCondition =
           condition == null ? Machine.Condition.OK : Machine.Condition.valueOf(condition);
-      if (e != null && c != e.value().condition()) {
-        machines.put(machine, new Entry<>(e.value().with(c), e.stamp()));
+      if (entry != null && nextCondition != entry.value().condition()) {
+        machines.put(machine, new Entry<>(entry.value().with(nextCondition), entry.stamp()));
         changedMachines.add(machine);
       }
     }
     String key = Keys.record(part, page);
     Set<String> jobsChanged = new HashSet<>();
-    changed(old.done(), next.done(), jobsChanged);
-    changed(old.back(), next.back(), jobsChanged);
+    collectChangedJobs(old.done(), next.done(), jobsChanged);
+    collectChangedJobs(old.back(), next.back(), jobsChanged);
     for (String job : jobsChanged) {
       BitSet done = new BitSet();
       PartitionRecord.indexes(next.done().get(job)).keySet().forEach(done::set);
-      Map<Integer, Integer> back = PartitionRecord.indexes(next.back().get(job));
-      if (done.isEmpty() && back.isEmpty()) {
-        Map<String, Ended> m = ended.get(job);
-        if (m != null && m.remove(key) != null && m.isEmpty()) {
-          ended.remove(job);
+      Map<Integer, Integer> requeued = PartitionRecord.indexes(next.back().get(job));
+      if (done.isEmpty() && requeued.isEmpty()) {
+        Map<String, PageEndedTasks> byPage = endedTasks.get(job);
+        if (byPage != null && byPage.remove(key) != null && byPage.isEmpty()) {
+          endedTasks.remove(job);
         }
       } else {
-        ended.computeIfAbsent(job, k -> new HashMap<>()).put(key, new Ended(done, back));
+        endedTasks
+            .computeIfAbsent(job, k -> new HashMap<>())
+            .put(key, new PageEndedTasks(done, requeued));
         done.stream().forEach(i -> taskDone(job, i));
-        back.forEach((i, attempt) -> taskBack(job, i, attempt));
+        requeued.forEach((i, attempt) -> taskRequeued(job, i, attempt));
       }
     }
   }
 
-  private static void changed(
+  private static void collectChangedJobs(
       Map<String, String> old, Map<String, String> next, Set<String> jobsChanged) {
     next.forEach(
         (job, text) -> {
@@ -528,47 +534,47 @@
   }
 
   private void taskDone(String job, int index) {
-    Progress p = progress(job, index / Constants.CHUNK_TASKS);
-    if (p != null && !p.done.get(index)) {
-      Progress.Live l = p.live.get(index);
-      if (l != null) {
-        grantEnds(new TaskId(job, index), l);
+    Progress chunk = progress(job, index / Constants.CHUNK_TASKS);
+    if (chunk != null && !chunk.done.get(index)) {
+      Progress.Live grant = chunk.live.get(index);
+      if (grant != null) {
+        grantRemoved(new TaskId(job, index), grant);
       }
-      p.complete(index);
+      chunk.complete(index);
     }
   }
 
-  private void taskBack(String job, int index, int attempt) {
-    Progress p = progress(job, index / Constants.CHUNK_TASKS);
-    if (p != null && p.isLive(index, attempt)) {
-      grantEnds(new TaskId(job, index), p.live.get(index));
-      p.back(index);
+  private void taskRequeued(String job, int index, int attempt) {
+    Progress chunk = progress(job, index / Constants.CHUNK_TASKS);
+    if (chunk != null && chunk.isLive(index, attempt)) {
+      grantRemoved(new TaskId(job, index), chunk.live.get(index));
+      chunk.back(index);
     }
   }
 
   private void tasksChanged(String machine, Map<TaskId, Integer> next) {
     Map<TaskId, Integer> old = tasksOn(machine);
-    for (TaskId t : old.keySet()) {
-      if (!next.containsKey(t)) {
-        Set<String> at = taskMachines.get(t);
-        at.remove(machine);
-        if (at.isEmpty()) {
-          taskMachines.remove(t);
-          Progress.Live l = grant(t);
-          if (l != null) {
-            unplaced.computeIfAbsent(l.part(), k -> new HashSet<>()).add(t);
+    for (TaskId task : old.keySet()) {
+      if (!next.containsKey(task)) {
+        Set<String> assigned = taskMachines.get(task);
+        assigned.remove(machine);
+        if (assigned.isEmpty()) {
+          taskMachines.remove(task);
+          Progress.Live grant = grant(task);
+          if (grant != null) {
+            unplaced.computeIfAbsent(grant.part(), k -> new HashSet<>()).add(task);
           }
         }
       }
     }
-    Set<TaskId> fresh = new HashSet<>();
-    for (TaskId t : next.keySet()) {
-      if (!old.containsKey(t)) {
-        fresh.add(t);
-        taskMachines.computeIfAbsent(t, k -> new HashSet<>()).add(machine);
-        Progress.Live l = grant(t);
-        if (l != null) {
-          unplaced.getOrDefault(l.part(), Set.of()).remove(t);
+    Set<TaskId> added = new HashSet<>();
+    for (TaskId task : next.keySet()) {
+      if (!old.containsKey(task)) {
+        added.add(task);
+        taskMachines.computeIfAbsent(task, k -> new HashSet<>()).add(machine);
+        Progress.Live grant = grant(task);
+        if (grant != null) {
+          unplaced.getOrDefault(grant.part(), Set.of()).remove(task);
         }
       }
     }
@@ -577,20 +583,21 @@
     } else {
       tasksByMachine.put(machine, next);
     }
-    Entry<Machine> e = machines.get(machine);
-    if (e != null) {
-      machines.put(machine, new Entry<>(withImages(e.value().withTasks(next), fresh), e.stamp()));
+    Entry<Machine> entry = machines.get(machine);
+    if (entry != null) {
+      machines.put(
+          machine, new Entry<>(withImages(entry.value().withTasks(next), added), entry.stamp()));
     }
     changedMachines.add(machine);
   }
 
   /** Adds the images of the tasks, since a machine fetches the image of each task it is given. */
-  private Machine withImages(Machine m, Set<TaskId> tasks) {
-    Machine next = m;
-    for (TaskId t : tasks) {
-      Entry<Job> j = jobs.get(t.job());
-      if (j != null && !next.images().contains(j.value().spec().image())) {
-        next = next.withImage(j.value().spec().image());
+  private Machine withImages(Machine machine, Set<TaskId> tasks) {
+    Machine next = machine;
+    for (TaskId task : tasks) {
+      Entry<Job> job = jobs.get(task.job());
+      if (job != null && !next.images().contains(job.value().spec().image())) {
+        next = next.withImage(job.value().spec().image());
       }
     }
     return next;
--- a/src/main/java/org/baygw/control/store/Store.java
+++ b/src/main/java/org/baygw/control/store/Store.java
@@ -46,11 +46,11 @@
   private static final Logger LOG = LoggerFactory.getLogger(Store.class);
 
   private final Clock clock;
-  private final StateCache view;
+  private final StateCache cache;
   private final RequestQueue queue;
   private final long watchWaitMs;
-  private final long watchGapMs;
-  private final long syncGapMs;
+  private final long watchIntervalMs;
+  private final long syncIntervalMs;
   private final Histogram writeMs =
       new Histogram(Constants.HISTOGRAM_MAX_MS, Constants.HISTOGRAM_DIGITS);
   private boolean loaded;
@@ -63,25 +63,25 @@
   private List<Consumer<Boolean>> syncWaiters = new ArrayList<>();
 
   /** When an answer last brought the cache up to date. */
-  private long lastCurrent = Long.MIN_VALUE / 2;
+  private long lastUpdate = Long.MIN_VALUE / 2;
 
   /** Send time of the latest request whose answer brought the cache up to date. */
   private long currentAsOf = Long.MIN_VALUE / 2;
 
-  public Store(Clock clock, Outbox out, Settings s, StateCache view) {
+  public Store(Clock clock, Outbox out, Settings settings, StateCache cache) {
     this.clock = clock;
-    this.view = view;
-    this.queue = new RequestQueue(clock, out, s);
-    double all = s.peers().size() + 1;
-    this.watchWaitMs = s.workers().watermarkPeriodMs(Constants.WATCH_WAIT_MS);
-    this.watchGapMs =
+    this.cache = cache;
+    this.queue = new RequestQueue(clock, out, settings);
+    double controllers = settings.peers().size() + 1;
+    this.watchWaitMs = settings.workers().watermarkPeriodMs(Constants.WATCH_WAIT_MS);
+    this.watchIntervalMs =
         Math.max(
             Constants.WATCH_INTERVAL_MIN_MS,
-            Math.round(1000 * all / (s.state().rps() * Constants.WATCH_SHARE)));
-    this.syncGapMs =
+            Math.round(1000 * controllers / (settings.state().rps() * Constants.WATCH_SHARE)));
+    this.syncIntervalMs =
         Math.max(
             Constants.SYNC_INTERVAL_MIN_MS,
-            Math.round(1000 * all / (s.state().rps() * Constants.SYNC_SHARE)));
+            Math.round(1000 * controllers / (settings.state().rps() * Constants.SYNC_SHARE)));
   }
 
   /** Whether all keys have been read at least once. */
@@ -110,7 +110,7 @@
 
   public void tick() {
     long now = clock.now();
-    if (!loaded || behind()) {
+    if (!loaded || tooFarBehind()) {
       if (!loading && !watching && !syncing && now >= nextWatch) {
         loading = true;
         list("", 0, clock.now(), new HashSet<>());
@@ -126,20 +126,20 @@
         sync();
       }
     }
-    queue.pump();
+    queue.dispatch();
   }
 
   /**
    * Sets this controller's share of the state service's rate limits: an even share, and an extra
    * one while it is the leader.
    */
-  public void updateShare(boolean leadership) {
-    queue.share(leadership);
+  public void updateShare(boolean isLeader) {
+    queue.updateShare(isLeader);
   }
 
   /** Whether write tokens are running low, so that callers should batch their writes. */
   public boolean writeTokensLow() {
-    return queue.scarce();
+    return queue.writeTokensLow();
   }
 
   /**
@@ -147,48 +147,49 @@
    * cheaper than reading all changes: an answer with the changes of a minute takes longer than the
    * request's timeout.
    */
-  private boolean behind() {
-    return clock.now() - lastCurrent > Constants.RELIST_AFTER_MS;
+  private boolean tooFarBehind() {
+    return clock.now() - lastUpdate > Constants.RELIST_AFTER_MS;
   }
 
   /** Sends a conditional write; the outcome is REFUSED if no token is free within waitMs. */
-  public void txn(Urgency u, Txn t, long waitMs, Consumer<Outcome> then) {
-    long asked = clock.now();
+  public void txn(Urgency urgency, Txn txn, long waitMs, Consumer<Outcome> callback) {
+    long requestedAt = clock.now();
     request(
-        u,
+        urgency,
         "POST",
         "/txn",
-        Json.bytes(t.toJson()),
-        t.writeCount(),
+        Json.bytes(txn.toJson()),
+        txn.writeCount(),
         waitMs,
         Constants.STATE_TIMEOUT_MS,
-        (status, answer) -> outcome(t, asked, status, answer, then));
+        (status, answer) -> handleAnswer(txn, requestedAt, status, answer, callback));
   }
 
-  private void outcome(Txn t, long asked, int status, byte[] answer, Consumer<Outcome> then) {
-    writeMs.recordValue(Math.min(clock.now() - asked, Constants.HISTOGRAM_MAX_MS));
+  private void handleAnswer(
+      Txn txn, long requestedAt, int status, byte[] answer, Consumer<Outcome> callback) {
+    writeMs.recordValue(Math.min(clock.now() - requestedAt, Constants.HISTOGRAM_MAX_MS));
     if (status == 200) {
-      long rev = Json.parse(answer).path("ledgerRev").asLong();
+      long revision = Json.parse(answer).path("ledgerRev").asLong();
       // Apply the write at once. The watch repeats it later with the same stamp, without effect.
-      t.changes.forEach(
-          (k, c) -> {
-            if (c.value() == null) {
-              view.delete(k, rev);
+      txn.changes.forEach(
+          (key, change) -> {
+            if (change.value() == null) {
+              cache.delete(key, revision);
             } else {
-              view.put(k, c.value(), rev);
+              cache.put(key, change.value(), revision);
             }
           });
-      then.accept(Outcome.OK);
+      callback.accept(Outcome.OK);
     } else if (status == 409) {
       refresh();
-      then.accept(Outcome.CONFLICT);
+      callback.accept(Outcome.CONFLICT);
     } else if (status == Outbox.NO_ANSWER) {
-      then.accept(Outcome.UNKNOWN);
+      callback.accept(Outcome.UNKNOWN);
     } else {
       if (status == 400) {
         LOG.warn("the state service rejected a write as malformed: {}", new String(answer));
       }
-      then.accept(Outcome.REFUSED);
+      callback.accept(Outcome.REFUSED);
     }
   }
 
@@ -198,8 +199,8 @@
    * failed: it is sent again until it certainly succeeds or fails. After a conflict the cache is
    * brought up to date before the callback runs.
    */
-  public void txnWithRetry(Urgency u, Txn t, long waitMs, Consumer<Boolean> then) {
-    txnWithRetry(u, t, waitMs, false, then);
+  public void txnWithRetry(Urgency urgency, Txn txn, long waitMs, Consumer<Boolean> callback) {
+    txnWithRetry(urgency, txn, waitMs, false, callback);
   }
 
   /**
@@ -207,74 +208,90 @@
    * changes that came up during the wait. The builder returns null if nothing is left to write; the
    * callback then gets false.
    */
-  public void txnWithRetry(Urgency u, Supplier<Txn> late, Consumer<Boolean> then) {
-    queue.addLate(u, late, t -> sendLate(u, t, then), (status, body) -> then.accept(false));
+  public void txnWithRetry(Urgency urgency, Supplier<Txn> builder, Consumer<Boolean> callback) {
+    queue.addDeferred(
+        urgency,
+        builder,
+        txn -> sendDeferred(urgency, txn, callback),
+        (status, body) -> callback.accept(false));
   }
 
-  private void sendLate(Urgency u, Txn t, Consumer<Boolean> then) {
-    long asked = clock.now();
+  private void sendDeferred(Urgency urgency, Txn txn, Consumer<Boolean> callback) {
+    long requestedAt = clock.now();
     queue.send(
-        t,
+        txn,
         (status, answer) ->
-            outcome(
-                t,
-                asked,
+            handleAnswer(
+                txn,
+                requestedAt,
                 status,
                 answer,
-                o -> settled(u, t, Constants.STATE_TIMEOUT_MS, false, then, o)));
+                outcome ->
+                    handleOutcome(
+                        urgency, txn, Constants.STATE_TIMEOUT_MS, false, callback, outcome)));
   }
 
-  private void txnWithRetry(Urgency u, Txn t, long waitMs, boolean doubt, Consumer<Boolean> then) {
-    txn(u, t, waitMs, outcome -> settled(u, t, waitMs, doubt, then, outcome));
+  private void txnWithRetry(
+      Urgency urgency, Txn txn, long waitMs, boolean mayBeApplied, Consumer<Boolean> callback) {
+    txn(
+        urgency,
+        txn,
+        waitMs,
+        outcome -> handleOutcome(urgency, txn, waitMs, mayBeApplied, callback, outcome));
   }
 
-  private void settled(
-      Urgency u, Txn t, long waitMs, boolean doubt, Consumer<Boolean> then, Outcome outcome) {
+  private void handleOutcome(
+      Urgency urgency,
+      Txn txn,
+      long waitMs,
+      boolean mayBeApplied,
+      Consumer<Boolean> callback,
+      Outcome outcome) {
     switch (outcome) {
-      case OK -> then.accept(true);
-      case CONFLICT -> retryUntilCurrent(() -> then.accept(false));
+      case OK -> callback.accept(true);
+      case CONFLICT -> runWhenCurrent(() -> callback.accept(false));
       case REFUSED -> {
-        if (doubt) {
-          txnWithRetry(u, t, waitMs, true, then);
+        if (mayBeApplied) {
+          txnWithRetry(urgency, txn, waitMs, true, callback);
         } else {
-          then.accept(false);
+          callback.accept(false);
         }
       }
-      case UNKNOWN -> txnWithRetry(u, t, waitMs, true, then);
+      case UNKNOWN -> txnWithRetry(urgency, txn, waitMs, true, callback);
     }
   }
 
-  private void retryUntilCurrent(Runnable then) {
+  private void runWhenCurrent(Runnable action) {
     whenCurrent(
         ok -> {
           if (ok) {
-            then.run();
+            action.run();
           } else {
-            retryUntilCurrent(then);
+            runWhenCurrent(action);
           }
         });
   }
 
   /** Sends any other request; the status is NOT_SENT if no token is free within waitMs. */
   public void request(
-      Urgency u,
+      Urgency urgency,
       String method,
       String path,
       byte[] body,
       int writeCount,
       long waitMs,
       long timeoutMs,
-      Outbox.Callback then) {
-    queue.add(u, method, path, body, writeCount, waitMs, timeoutMs, then);
+      Outbox.Callback callback) {
+    queue.add(urgency, method, path, body, writeCount, waitMs, timeoutMs, callback);
   }
 
   /**
    * Calls back with true once the cache has everything that was durable at the time of this call,
    * or with false if it could not be updated.
    */
-  public void whenCurrent(Consumer<Boolean> then) {
+  public void whenCurrent(Consumer<Boolean> callback) {
     waitingSince = syncWaiters.isEmpty() ? clock.now() : waitingSince;
-    syncWaiters.add(then);
+    syncWaiters.add(callback);
   }
 
   /** Requests an update of the cache without waiting for it. */
@@ -284,7 +301,7 @@
     }
   }
 
-  private void list(String after, long firstRev, long begun, Set<String> seen) {
+  private void list(String after, long firstRevision, long startedAt, Set<String> seen) {
     String path =
         "/kv?under=" + Keys.ROOT + "&page=500" + (after.isEmpty() ? "" : "&after=" + after);
     request(
@@ -296,40 +313,40 @@
         Constants.STATE_TIMEOUT_MS,
         Constants.STATE_TIMEOUT_MS * 2L,
         (status, answer) -> {
-          JsonNode n = Json.parse(answer);
-          if (status != 200 || !n.path("ledgerRev").isNumber()) {
+          JsonNode response = Json.parse(answer);
+          if (status != 200 || !response.path("ledgerRev").isNumber()) {
             loading = false;
             nextWatch = clock.now() + Constants.STATE_RETRY_MS;
-            answerWaiters(false);
+            notifyWaiters(false);
             return;
           }
-          long rev = firstRev == 0 ? n.path("ledgerRev").asLong() : firstRev;
+          long revision = firstRevision == 0 ? response.path("ledgerRev").asLong() : firstRevision;
           String last = after;
-          for (JsonNode e : n.path("entries")) {
-            last = e.path("key").asText();
+          for (JsonNode entry : response.path("entries")) {
+            last = entry.path("key").asText();
             seen.add(last);
-            view.put(last, e.path("value"), e.path("stamp").asLong());
+            cache.put(last, entry.path("value"), entry.path("stamp").asLong());
           }
-          if (n.path("more").asBoolean()) {
-            list(last, rev, begun, seen);
+          if (response.path("more").asBoolean()) {
+            list(last, revision, startedAt, seen);
             return;
           }
           // A known key that is not listed was deleted during a gap in the watch.
-          for (String key : view.keys()) {
-            if (!seen.contains(key) && view.stamp(key) <= rev) {
-              view.delete(key, rev);
+          for (String key : cache.keys()) {
+            if (!seen.contains(key) && cache.stamp(key) <= revision) {
+              cache.delete(key, revision);
             }
           }
-          view.reached(rev);
+          cache.advanceTo(revision);
           loading = false;
           loaded = true;
-          lastCurrent = clock.now();
-          currentAsOf = Math.max(currentAsOf, begun);
-          LOG.info("read {} keys at revision {}", seen.size(), rev);
+          lastUpdate = clock.now();
+          currentAsOf = Math.max(currentAsOf, startedAt);
+          LOG.info("read {} keys at revision {}", seen.size(), revision);
         });
   }
 
-  private void answerWaiters(boolean ok) {
+  private void notifyWaiters(boolean ok) {
     takeWaiters().forEach(w -> w.accept(ok));
   }
 
@@ -345,8 +362,8 @@
       return;
     }
     watching = true;
-    nextWatch = clock.now() + watchGapMs;
-    changes(
+    nextWatch = clock.now() + watchIntervalMs;
+    requestChanges(
         syncWaiters.isEmpty() ? watchWaitMs : 0,
         ok -> {
           watching = false;
@@ -360,8 +377,8 @@
       return;
     }
     syncing = true;
-    nextSync = clock.now() + syncGapMs;
-    changes(
+    nextSync = clock.now() + syncIntervalMs;
+    requestChanges(
         0,
         ok -> {
           syncing = false;
@@ -369,44 +386,44 @@
         });
   }
 
-  private void changes(long waitMs, Consumer<Boolean> then) {
+  private void requestChanges(long waitMs, Consumer<Boolean> callback) {
     List<Consumer<Boolean>> waiters = takeWaiters();
-    long sent = clock.now();
+    long sentAt = clock.now();
     queue.send(
         "GET",
-        "/watch?under=" + Keys.ROOT + "&after=" + view.revision() + "&waitMs=" + waitMs,
+        "/watch?under=" + Keys.ROOT + "&after=" + cache.revision() + "&waitMs=" + waitMs,
         null,
         waitMs > 0 ? waitMs + 2L * Constants.STATE_TIMEOUT_MS : Constants.STATE_TIMEOUT_MS,
         (status, answer) -> {
-          boolean ok = events(sent, status, answer);
-          then.accept(ok);
+          boolean ok = applyEvents(sentAt, status, answer);
+          callback.accept(ok);
           waiters.forEach(w -> w.accept(ok));
         });
   }
 
-  private boolean events(long sent, int status, byte[] answer) {
+  private boolean applyEvents(long sentAt, int status, byte[] answer) {
     if (status == 410) {
-      lastCurrent = Long.MIN_VALUE / 2; // the service no longer has these changes: list all keys
+      lastUpdate = Long.MIN_VALUE / 2; // the service no longer has these changes: list all keys
       return false;
     }
-    JsonNode n = status == 200 ? Json.parse(answer) : null;
-    if (n == null || !n.path("ledgerRev").isNumber()) {
+    JsonNode response = status == 200 ? Json.parse(answer) : null;
+    if (response == null || !response.path("ledgerRev").isNumber()) {
       return false;
     }
-    for (JsonNode e : n.path("events")) {
-      long stamp = e.path("stamp").asLong();
-      if (stamp <= view.revision()) {
+    for (JsonNode event : response.path("events")) {
+      long stamp = event.path("stamp").asLong();
+      if (stamp <= cache.revision()) {
         continue; // applied already by a later answer
       }
-      if (e.has("write")) {
-        view.put(e.path("write").asText(), e.path("value"), stamp);
+      if (event.has("write")) {
+        cache.put(event.path("write").asText(), event.path("value"), stamp);
       } else {
-        view.delete(e.path("delete").asText(), stamp);
+        cache.delete(event.path("delete").asText(), stamp);
       }
     }
-    view.reached(n.path("ledgerRev").asLong());
-    lastCurrent = clock.now();
-    currentAsOf = Math.max(currentAsOf, sent);
+    cache.advanceTo(response.path("ledgerRev").asLong());
+    lastUpdate = clock.now();
+    currentAsOf = Math.max(currentAsOf, sentAt);
     return true;
   }
 }
--- a/src/main/java/org/baygw/control/store/Txn.java
+++ b/src/main/java/org/baygw/control/store/Txn.java
@@ -10,7 +10,7 @@
 /** A conditional write under construction. */
 public final class Txn {
   /** A put, attached to a lease unless the lease is 0, or a delete if the value is null. */
-  record Change(JsonNode value, long hold) {}
+  record Change(JsonNode value, long leaseId) {}
 
   private final Map<String, Long> conditions = new LinkedHashMap<>();
   final Map<String, Change> changes = new LinkedHashMap<>();
@@ -49,22 +49,23 @@
   }
 
   ObjectNode toJson() {
-    ObjectNode n = Json.object();
-    ArrayNode w = n.putArray("when");
-    conditions.forEach((k, s) -> w.addObject().put("key", k).put("stamp", s));
-    ArrayNode t = n.putArray("then");
+    ObjectNode json = Json.object();
+    ArrayNode conditionList = json.putArray("when");
+    conditions.forEach(
+        (key, stamp) -> conditionList.addObject().put("key", key).put("stamp", stamp));
+    ArrayNode changeList = json.putArray("then");
     changes.forEach(
-        (k, c) -> {
-          if (c.value() == null) {
-            t.addObject().put("delete", k);
+        (key, change) -> {
+          if (change.value() == null) {
+            changeList.addObject().put("delete", key);
           } else {
-            ObjectNode o = t.addObject().put("write", k);
-            o.set("value", c.value());
-            if (c.hold() != 0) {
-              o.put("hold", c.hold());
+            ObjectNode put = changeList.addObject().put("write", key);
+            put.set("value", change.value());
+            if (change.leaseId() != 0) {
+              put.put("hold", change.leaseId());
             }
           }
         });
-    return n;
+    return json;
   }
 }
