--- a/src/main/java/org/baygw/control/store/StateCache.java
+++ b/src/main/java/org/baygw/control/store/StateCache.java
@@ -314,28 +314,28 @@
     apply(key, null, stamp);
   }
 
-  private void apply(String key, JsonNode value, long stamp) {
+  private void apply(String key, JsonNode v, long stamp) {
     String[] segments = key.split("/", 4);
     String id = segments.length > 2 ? segments[2] : "";
     switch (segments.length > 1 ? segments[1] : "") {
       case "job" -> {
-        set(jobs, id, value == null ? null : Records.job(id, value), stamp);
+        set(jobs, id, v == null ? null : Records.job(id, v), stamp);
         updateActive(id);
-        if (value != null && !jobs.get(id).value().open()) {
+        if (v != null && !jobs.get(id).value().open()) {
           if (jobs.get(id).value().state() == Job.State.CANCELLED) {
             cancelledByRevision.computeIfAbsent(stamp, k -> new HashSet<>()).add(id);
           }
           markMachinesChanged(id);
         }
       }
-      case "prog" -> progressChanged(key, id, Integer.parseInt(segments[3]), value, stamp);
+      case "prog" -> progressChanged(key, id, Integer.parseInt(segments[3]), v, stamp);
       case "run" ->
           recordChanged(
               Partition.parse(id),
               segments.length > 3 ? Integer.parseInt(segments[3]) : 0,
-              value == null ? PartitionRecord.EMPTY : Records.record(value));
+              v == null ? PartitionRecord.EMPTY : Records.record(v));
       case "machine" -> {
-        Machine next = value == null ? null : Records.machine(id, value, partitionsPerZone);
+        Machine next = v == null ? null : Records.machine(id, v, partitionsPerZone);
         Entry<Machine> old = machines.get(id);
         if (next != null) {
           String condition = condition(next.part(), id);
@@ -354,16 +354,13 @@
         }
         changedMachines.add(id);
       }
-      case "layout" ->
-          partitionsPerZone = value == null ? 0 : value.path("partitions_per_zone").asInt();
+      case "layout" -> partitionsPerZone = v == null ? 0 : v.path("partitions_per_zone").asInt();
       case "claim" -> {
         ownershipChangeCount++;
         set(
             claims,
             id,
-            value == null
-                ? null
-                : new Claim(value.path("owner").asText(), value.path("hold").asLong()),
+            v == null ? null : new Claim(v.path("owner").asText(), v.path("hold").asLong()),
             stamp);
       }
       case "member" -> {
@@ -371,21 +368,20 @@
         set(
             members,
             id,
-            value == null
+            v == null
                 ? null
                 : new Member(
-                    value.path("zone").asText(),
-                    value.path("hold").asLong(),
-                    value.path("reaches").asBoolean(true),
-                    value.path("leaving").asBoolean(false)),
+                    v.path("zone").asText(),
+                    v.path("hold").asLong(),
+                    v.path("reaches").asBoolean(true),
+                    v.path("leaving").asBoolean(false)),
             stamp);
       }
-      case "rent" -> set(rentals, id, value == null ? null : Records.rental(value), stamp);
+      case "rent" -> set(rentals, id, v == null ? null : Records.rental(v), stamp);
       case "drain" -> {
         Map<String, Drain> next = new HashMap<>();
-        if (value != null) {
-          value
-              .fields()
+        if (v != null) {
+          v.fields()
               .forEachRemaining(e -> next.put(e.getKey(), Drain.valueOf(e.getValue().asText())));
         }
         for (String name : drainsByPartition.getOrDefault(Partition.parse(id), Map.of()).keySet()) {
@@ -403,18 +399,16 @@
         drainsByPartition.put(Partition.parse(id), next);
       }
       case "cordon" -> {
-        if (value == null) {
+        if (v == null) {
           cordons.remove(id);
         } else {
           cordons.add(id);
         }
       }
-      case "types" -> types = value == null ? List.of() : Records.types(value);
+      case "types" -> types = v == null ? List.of() : Records.types(v);
       case "params" ->
           params =
-              value == null
-                  ? SchedulingParameters.DEFAULTS
-                  : SchedulingParameters.DEFAULTS.with(value);
+              v == null ? SchedulingParameters.DEFAULTS : SchedulingParameters.DEFAULTS.with(v);
       default -> LOG.debug("unknown key {}", key);
     }
   }
