--- a/src/main/java/org/baygw/control/membership/Membership.java
+++ b/src/main/java/org/baygw/control/membership/Membership.java
@@ -86,7 +86,7 @@
     StateCache.Entry<StateCache.Claim> claim = view.claims.get(role);
     return claim != null
             && lease.currentLeaseId() != 0
-            && claim.value().hold() == lease.currentLeaseId()
+            && claim.value().leaseId() == lease.currentLeaseId()
             && view.revision() >= claim.stamp()
             && claim.stamp() > supersededClaims.getOrDefault(role, 0L)
         ? claim.stamp()
@@ -200,22 +200,22 @@
     Txn txn = new Txn();
     for (String role : roles()) {
       long stamp = heldClaimStamp(role);
-      if (stamp != 0 && txn.writes() < settings.state().txnOps()) {
+      if (stamp != 0 && txn.writeCount() < settings.state().txnOps()) {
         txn.when(Keys.claim(role), stamp).delete(Keys.claim(role));
       }
     }
-    if (txn.writes() == 0) {
+    if (txn.writeCount() == 0) {
       onOutcome.accept(true);
       return true;
     }
     claimWriteInFlight = true;
-    store.settle(
-        Store.Urgency.HOLD,
+    store.txnWithRetry(
+        Store.Urgency.LEASE,
         txn,
         Constants.STATE_TIMEOUT_MS,
         ok -> {
           claimWriteInFlight = false;
-          LOG.info("{} {}", ok ? "released" : "could not release", txn.then());
+          LOG.info("{} {}", ok ? "released" : "could not release", txn.keys());
           onOutcome.accept(ok);
         });
     return true;
@@ -254,7 +254,7 @@
     if (!store.loaded() || !joined) {
       return;
     }
-    store.share(leaderClaimStamp() != 0);
+    store.updateShare(leaderClaimStamp() != 0);
     if (!claimWriteInFlight && now >= nextClaimAt && view.members.containsKey(settings.label())) {
       if (view.partitionsPerZone() == 0) {
         storeLayout();
@@ -272,7 +272,7 @@
     claimWriteInFlight = true;
     int perZone = assignment.initialPerZone();
     store.txn(
-        Store.Urgency.HOLD,
+        Store.Urgency.LEASE,
         new Txn()
             .when(Keys.LAYOUT, 0)
             .put(Keys.LAYOUT, Json.object().put("partitions_per_zone", perZone)),
@@ -286,7 +286,7 @@
   /** Whether this controller is recorded as reaching the workers of its zone. */
   public boolean workersReachable() {
     StateCache.Entry<StateCache.Member> self = view.members.get(settings.label());
-    return self == null || self.value().reaches();
+    return self == null || self.value().reachesWorkers();
   }
 
   /** Whether another controller of this zone is recorded as reaching the zone's workers. */
@@ -295,7 +295,7 @@
       StateCache.Member member = entry.getValue().value();
       if (!entry.getKey().equals(settings.label())
           && member.zone().equals(settings.zone())
-          && member.reaches()) {
+          && member.reachesWorkers()) {
         return true;
       }
     }
@@ -313,21 +313,21 @@
   /** Claims free roles that are assigned to this controller, or else hands over one partition. */
   private void updateClaims() {
     Txn claimTxn = claimTxn();
-    Txn txn = claimTxn.writes() > 0 || leaving() ? claimTxn : handoverTxn();
-    if (txn.writes() == 0) {
+    Txn txn = claimTxn.writeCount() > 0 || leaving() ? claimTxn : handoverTxn();
+    if (txn.writeCount() == 0) {
       nextClaimAt = clock.now() + Constants.CLAIM_CHECK_MS;
       return;
     }
     claimWriteInFlight = true;
     store.txn(
-        Store.Urgency.HOLD,
+        Store.Urgency.LEASE,
         txn,
         Constants.STATE_TIMEOUT_MS,
         outcome -> {
           claimWriteInFlight = false;
           nextClaimAt = clock.now() + (outcome == Store.Outcome.OK ? 0 : Constants.CLAIM_RETRY_MS);
           if (outcome == Store.Outcome.OK) {
-            LOG.info("{} {}", txn == claimTxn ? "took" : "handed over", txn.then());
+            LOG.info("{} {}", txn == claimTxn ? "took" : "handed over", txn.keys());
           }
         });
   }
@@ -427,7 +427,8 @@
     Set<String> staying = staying(controllers);
     Set<String> eligible = new HashSet<>(staying);
     eligible.removeIf(
-        label -> view.members.containsKey(label) && !view.members.get(label).value().reaches());
+        label ->
+            view.members.containsKey(label) && !view.members.get(label).value().reachesWorkers());
     return eligible.isEmpty() ? staying : eligible;
   }
 
--- a/src/main/java/org/baygw/control/membership/MembershipLease.java
+++ b/src/main/java/org/baygw/control/membership/MembershipLease.java
@@ -97,9 +97,9 @@
 
   private void join() {
     StateCache.Entry<StateCache.Member> previous = view.members.get(settings.label());
-    if (previous != null && previous.value().hold() != endedLeaseId) {
+    if (previous != null && previous.value().leaseId() != endedLeaseId) {
       // The member key of this controller's former process. Ending its lease frees its claims now.
-      endLease(previous.value().hold());
+      endLease(previous.value().leaseId());
       return;
     }
     long leaseId = preparedLeaseId;
@@ -150,7 +150,7 @@
     requestInFlight = true;
     String key = Keys.member(settings.label());
     store.txn(
-        Store.Urgency.HOLD,
+        Store.Urgency.LEASE,
         new Txn().put(key, memberValue(leaseId, true), leaseId),
         Constants.STATE_TIMEOUT_MS,
         outcome -> {
@@ -193,7 +193,7 @@
    * allowing for clock drift.
    */
   private long guaranteedUntil() {
-    return clock.now() + (long) (Constants.MEMBERSHIP_LEASE_MS * (1 - Constants.DRIFT));
+    return clock.now() + (long) (Constants.MEMBERSHIP_LEASE_MS * (1 - Constants.CLOCK_DRIFT));
   }
 
   /** Ends the lease and with it all claims, and obtains no other. */
@@ -225,7 +225,7 @@
   private void request(String method, String path, byte[] body, ResponseHandler handler) {
     requestInFlight = true;
     store.request(
-        Store.Urgency.HOLD,
+        Store.Urgency.LEASE,
         method,
         path,
         body,
@@ -247,7 +247,7 @@
   /** Stores in the member key whether this controller reaches the workers of its zone. */
   void setWorkersReachable(boolean reachable) {
     StateCache.Entry<StateCache.Member> entry = view.members.get(settings.label());
-    if (entry != null && entry.value().reaches() != reachable) {
+    if (entry != null && entry.value().reachesWorkers() != reachable) {
       updateMember(
           entry,
           reachable,
@@ -262,7 +262,7 @@
     if (entry != null && entry.value().leaving() != isLeaving) {
       updateMember(
           entry,
-          entry.value().reaches(),
+          entry.value().reachesWorkers(),
           () ->
               LOG.info(
                   isLeaving ? "marked as leaving: others take its roles" : "accepts roles again"));
@@ -271,13 +271,13 @@
 
   private void updateMember(
       StateCache.Entry<StateCache.Member> entry, boolean reaches, Runnable onWritten) {
-    if (updateInFlight || entry.value().hold() != currentLeaseId) {
+    if (updateInFlight || entry.value().leaseId() != currentLeaseId) {
       return;
     }
     updateInFlight = true;
     String key = Keys.member(settings.label());
     store.txn(
-        Store.Urgency.HOLD,
+        Store.Urgency.LEASE,
         new Txn()
             .when(key, entry.stamp())
             .put(key, memberValue(currentLeaseId, reaches), currentLeaseId),
--- a/src/main/java/org/baygw/control/membership/Peers.java
+++ b/src/main/java/org/baygw/control/membership/Peers.java
@@ -159,7 +159,8 @@
     latestStatus.put(
         status.label(), new ReceivedStatus(clock.now(), status.stateAgeMs(), status.revision()));
     for (PeerStatus.Cancellation cancellation : status.cancellations()) {
-      view.toldCancelled(cancellation.job(), cancellation.stamp(), cancellation.cancelledMs());
+      view.addPeerCancellation(
+          cancellation.job(), cancellation.stamp(), cancellation.cancelledMs());
     }
     if (status.revision() > view.revision()) {
       store.refresh();
--- a/src/main/java/org/baygw/control/quota/Scheduler.java
+++ b/src/main/java/org/baygw/control/quota/Scheduler.java
@@ -96,7 +96,7 @@
    * capacity.
    */
   public boolean unmetIsCurrent() {
-    return changesAtLastPass == view.changes();
+    return changesAtLastPass == view.changeCount();
   }
 
   public int unmetTasks() {
@@ -122,8 +122,10 @@
     nextPass =
         now
             + machinesDelayMs
-            + (store.scarce() ? Constants.SCHEDULER_SCARCE_PASS_MS : Constants.SCHEDULER_PASS_MS);
-    changesAtLastPass = view.changes();
+            + (store.writeTokensLow()
+                ? Constants.SCHEDULER_SCARCE_PASS_MS
+                : Constants.SCHEDULER_PASS_MS);
+    changesAtLastPass = view.changeCount();
     new Pass().run();
   }
 
@@ -167,7 +169,7 @@
     private FreeCapacity freeCapacity;
 
     void run() {
-      List<StateCache.Entry<Job>> jobs = new ArrayList<>(view.active.values());
+      List<StateCache.Entry<Job>> jobs = new ArrayList<>(view.activeJobs.values());
       jobs.sort(
           Comparator.comparing((StateCache.Entry<Job> job) -> job.value().acceptedMs())
               .thenComparing(job -> job.value().spec().id()));
@@ -449,7 +451,7 @@
   private void deleteProgress(String id, TreeMap<Integer, StateCache.Entry<Progress>> chunks) {
     Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leaderClaimStamp());
     for (Integer chunk : chunks.keySet()) {
-      if (txn.writes() < settings.state().txnOps()) {
+      if (txn.writeCount() < settings.state().txnOps()) {
         String key = Keys.progress(id, chunk);
         txn.when(key, view.stamp(key)).delete(key);
       }
--- a/src/main/java/org/baygw/control/standby/RoleTable.java
+++ b/src/main/java/org/baygw/control/standby/RoleTable.java
@@ -137,8 +137,8 @@
 
   /** Standbys depend only on claims and members, so they are chosen again when those change. */
   private void chooseStandbys() {
-    if (ownershipChanges != view.ownershipChanges()) {
-      ownershipChanges = view.ownershipChanges();
+    if (ownershipChanges != view.ownershipChangeCount()) {
+      ownershipChanges = view.ownershipChangeCount();
       for (RoleEntry entry : entries.values()) {
         entry.standby = membership.successor(entry.role.name());
       }
--- a/src/main/java/org/baygw/control/store/PartitionPages.java
+++ b/src/main/java/org/baygw/control/store/PartitionPages.java
@@ -7,10 +7,10 @@
 import org.baygw.control.model.Partition;
 import org.baygw.control.model.PartitionRecord;
 
-/** The pages of all partitions' records in this controller's copy, with their sizes. */
+/** Cached pages of all partitions' records, with their sizes. */
 public final class PartitionPages {
-  /** A page with the bytes that its two halves take. */
-  private record Page(PartitionRecord record, int onBytes, int endedBytes) {
+  /** A page with the estimated sizes of its assignments and of its ended tasks. */
+  private record Page(PartitionRecord record, int assignmentBytes, int endedBytes) {
     private static final Page EMPTY = of(PartitionRecord.EMPTY);
 
     static Page of(PartitionRecord record) {
@@ -18,53 +18,53 @@
     }
   }
 
-  private static final TreeMap<Integer, Page> NONE = new TreeMap<>();
+  private static final TreeMap<Integer, Page> NO_PAGES = new TreeMap<>();
 
   private final Map<Partition, TreeMap<Integer, Page>> pages = new HashMap<>();
 
-  /** How many pages a partition's record has. */
+  /** Number of pages of a partition's record. */
   public int count(Partition part) {
     return get(part, 0).pageCount();
   }
 
-  /** A page of a partition's record, empty where it is not there. */
+  /** Page of a partition's record; empty if it does not exist. */
   public PartitionRecord get(Partition part, int page) {
     return page(part, page).record();
   }
 
-  /** About how many bytes a page takes. */
+  /** Estimated size of a page. */
   public int bytes(Partition part, int page) {
     Page found = page(part, page);
-    return found.onBytes() + found.endedBytes();
+    return found.assignmentBytes() + found.endedBytes();
   }
 
-  /** About how many bytes of a page are what machines have to do. */
-  public int onBytes(Partition part, int page) {
-    return page(part, page).onBytes();
+  /** Estimated size of the machines' tasks and conditions on a page. */
+  public int assignmentBytes(Partition part, int page) {
+    return page(part, page).assignmentBytes();
   }
 
-  /** About how many bytes of a page are tasks that have ended. */
+  /** Estimated size of the ended tasks on a page. */
   public int endedBytes(Partition part, int page) {
     return page(part, page).endedBytes();
   }
 
   private Page page(Partition part, int page) {
-    return pages.getOrDefault(part, NONE).getOrDefault(page, Page.EMPTY);
+    return pages.getOrDefault(part, NO_PAGES).getOrDefault(page, Page.EMPTY);
   }
 
-  /** Puts a page in the place of the one that it returns. */
+  /** Replaces a page and returns the former one. */
   PartitionRecord put(Partition part, int page, PartitionRecord next) {
     Page old = pages.computeIfAbsent(part, k -> new TreeMap<>()).put(page, Page.of(next));
     return old == null ? PartitionRecord.EMPTY : old.record();
   }
 
   /**
-   * What any page of a partition's record has, or null; a machine stands on one page only, but for
-   * the middle of reading all keys anew.
+   * First result from the pages of a partition's record that is not null, or null. A machine is on
+   * one page only, except while all keys are being listed again.
    */
-  String find(Partition part, Function<PartitionRecord, String> what) {
-    for (Page page : pages.getOrDefault(part, NONE).values()) {
-      String found = what.apply(page.record());
+  String find(Partition part, Function<PartitionRecord, String> lookup) {
+    for (Page page : pages.getOrDefault(part, NO_PAGES).values()) {
+      String found = lookup.apply(page.record());
       if (found != null) {
         return found;
       }
--- a/src/main/java/org/baygw/control/store/StateCache.java
+++ b/src/main/java/org/baygw/control/store/StateCache.java
@@ -27,54 +27,52 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's copy of the state service, parsed, with the indexes the slices need. An entry
- * changes only to a newer stamp, so late and repeated answers do no harm. What a change costs goes
- * with what it changed, not with the size of the record or of the whole.
+ * Parsed cache of the state service's keys, with the indexes that the other packages need. An entry
+ * is replaced only by one with a newer stamp, so late and repeated answers do no harm. The cost of
+ * applying a change depends on what changed, not on the size of the record or of the cache.
  */
 public final class StateCache {
-  /** A record with the revision of its last change. */
+  /** A value with its stamp, the revision of its key's last change. */
   public record Entry<T>(T value, long stamp) {}
 
-  /** Who holds a claim. */
-  public record Claim(String owner, long hold) {}
+  /** Owner of a claim, and the lease that the claim's key is attached to. */
+  public record Claim(String owner, long leaseId) {}
 
   /**
-   * A live controller; one that does not reach its workers leaves the partitions to others, and one
-   * that is leaving leaves all roles to them.
+   * A live controller. One that cannot reach its workers leaves the partitions to the others; one
+   * that is leaving hands all its roles over to them.
    */
-  public record Member(String zone, long hold, boolean reaches, boolean leaving) {}
+  public record Member(String zone, long leaseId, boolean reachesWorkers, boolean leaving) {}
 
-  /** A machine on its way out. */
+  /** State of a machine that is being drained. */
   public enum Drain {
-    /** Given up: it is returned whatever is on it. */
+    /** The machine was given up: it is returned even with tasks on it. */
     GIVEN_UP,
-    /** Not needed: it is returned if nothing came to it meanwhile. */
+    /** The machine is not needed: it is returned unless it was given tasks meanwhile. */
     IDLE,
-    /** The cloud has taken it back. */
+    /** The cloud has taken the machine back. */
     GONE
   }
 
-  /**
-   * Tasks of one job that ended in one partition, as a page of that partition's record has them.
-   */
-  private record Ended(BitSet done, Map<Integer, Integer> back) {}
+  /** Ended tasks of a job on a page: completed ones, and the ended attempts of the others. */
+  private record PageEndedTasks(BitSet done, Map<Integer, Integer> requeued) {}
 
   private static final Logger LOG = LoggerFactory.getLogger(StateCache.class);
 
   private final Map<String, Long> stamps = new HashMap<>();
-  private final Map<String, Long> tombs = new HashMap<>();
+  private final Map<String, Long> tombstones = new HashMap<>();
   private long revision;
-  private long changes;
+  private long changeCount;
 
-  /** Changes of claims and members. */
-  private long ownershipChanges;
+  /** Number of changes of claims and members. */
+  private long ownershipChangeCount;
 
   public final Map<String, Entry<Job>> jobs = new HashMap<>();
 
-  /** Jobs that are open or have progress left; the others only need their final state. */
-  public final Map<String, Entry<Job>> active = new LinkedHashMap<>();
+  /** Jobs that are open or still have progress keys; only the state of the others is needed. */
+  public final Map<String, Entry<Job>> activeJobs = new LinkedHashMap<>();
 
-  /** How far jobs are, with what has ended in the partitions' records taken in. */
+  /** Progress by job and chunk, including the ended tasks in the partitions' records. */
   public final Map<String, TreeMap<Integer, Entry<Progress>>> progress = new HashMap<>();
 
   public final Map<String, Entry<Machine>> machines = new HashMap<>();
@@ -86,56 +84,53 @@
   public List<MachineType> types = List.of();
   public SchedulingParameters params = SchedulingParameters.DEFAULTS;
 
-  /** The machines that may have a task. More than one only while something is wrong. */
-  public final Map<TaskId, Set<String>> places = new HashMap<>();
+  /** Machines that may have each task; more than one only in case of a fault. */
+  public final Map<TaskId, Set<String>> taskMachines = new HashMap<>();
 
-  /** Parts a zone has; 0 until that is durable. */
+  /** Partitions per zone; 0 until the number is durable. */
   private int partitionsPerZone;
 
-  /** Progress as it is written, without what stands in the partitions' records only. */
-  private final Map<String, Progress> written = new HashMap<>();
+  /** Progress as stored, by key, without the ended tasks in the partitions' records. */
+  private final Map<String, Progress> storedProgress = new HashMap<>();
 
-  private final Map<Partition, Set<String>> machinesOf = new HashMap<>();
+  private final Map<Partition, Set<String>> machinesByPartition = new HashMap<>();
   private final PartitionPages pages = new PartitionPages();
-  private final Map<String, Map<TaskId, Integer>> on = new HashMap<>();
+  private final Map<String, Map<TaskId, Integer>> tasksByMachine = new HashMap<>();
 
-  /** By job and page of a partition's record. */
-  private final Map<String, Map<String, Ended>> ended = new HashMap<>();
+  /** Ended tasks, by job and key of the page of a partition's record. */
+  private final Map<String, Map<String, PageEndedTasks>> endedTasks = new HashMap<>();
 
-  private final Map<Partition, Map<String, Drain>> drainsOf = new HashMap<>();
+  private final Map<Partition, Map<String, Drain>> drainsByPartition = new HashMap<>();
 
-  /** Granted tasks of a partition that are on no machine. */
+  /** Tasks granted to each partition that are on no machine. */
   private final Map<Partition, Set<TaskId>> unplaced = new HashMap<>();
 
-  /** Granted tasks of a partition, counted. */
-  private final Map<Partition, Integer> granted = new HashMap<>();
+  /** Number of tasks granted to each partition. */
+  private final Map<Partition, Integer> grantedCounts = new HashMap<>();
 
   private Set<String> changedMachines = new LinkedHashSet<>();
 
-  /** Jobs that this copy has as cancelled, by the revision at which they became so. */
-  private final TreeMap<Long, Set<String>> cancelled = new TreeMap<>();
+  /** Jobs that are cancelled in this cache, by the revision of their cancellation. */
+  private final TreeMap<Long, Set<String>> cancelledByRevision = new TreeMap<>();
 
-  /**
-   * A cancellation as a sibling told of it: its revision and the time of day at which it was
-   * written.
-   */
-  private record Told(long stamp, long cancelledMs) {}
+  /** A cancellation reported by a peer: its revision, and the time of day when it was written. */
+  private record PeerCancellation(long stamp, long cancelledMs) {}
 
-  /** Cancellations that a sibling has made durable and this copy has not reached. */
-  private final Map<String, Told> toldCancelled = new HashMap<>();
+  /** Durable cancellations reported by peers, of revisions that this cache has not reached. */
+  private final Map<String, PeerCancellation> peerCancellations = new HashMap<>();
 
   public long revision() {
     return revision;
   }
 
-  /** Grows with every change, so that a pass over unchanged data can be left out. */
-  public long changes() {
-    return changes;
+  /** Increases with every change, so that callers can skip a pass over unchanged data. */
+  public long changeCount() {
+    return changeCount;
   }
 
-  /** Grows with every change of a claim or a member. */
-  public long ownershipChanges() {
-    return ownershipChanges;
+  /** Increases with every change of a claim or a member. */
+  public long ownershipChangeCount() {
+    return ownershipChangeCount;
   }
 
   public int partitionsPerZone() {
@@ -156,130 +151,136 @@
   }
 
   public Progress progress(String job, int chunk) {
-    TreeMap<Integer, Entry<Progress>> m = progress.get(job);
-    Entry<Progress> e = m == null ? null : m.get(chunk);
-    return e == null ? null : e.value();
+    TreeMap<Integer, Entry<Progress>> chunks = progress.get(job);
+    Entry<Progress> entry = chunks == null ? null : chunks.get(chunk);
+    return entry == null ? null : entry.value();
   }
 
-  /** Progress as its key has it, or null: what is in it is needed in no partition's record. */
-  public Progress written(String job, int chunk) {
-    return written.get(Keys.progress(job, chunk));
+  /**
+   * Progress as its key stores it. Null if there is no such key; then the partitions' records need
+   * not keep the chunk's ended tasks either.
+   */
+  public Progress storedProgress(String job, int chunk) {
+    return storedProgress.get(Keys.progress(job, chunk));
   }
 
   /**
-   * Whether a job's tasks are to run: it is open, and no sibling told of its cancellation. That is
-   * final once durable, so it is acted on early; users are answered by the job's key alone.
+   * Whether a job's tasks should run: the job is open, and no peer has reported its cancellation. A
+   * durable cancellation is final, so it takes effect before this cache has reached it; answers to
+   * users depend on the job's key alone.
    */
-  public boolean runs(String job) {
+  public boolean shouldRun(String job) {
     Entry<Job> j = jobs.get(job);
-    return j != null && j.value().open() && !toldCancelled.containsKey(job);
+    return j != null && j.value().open() && !peerCancellations.containsKey(job);
   }
 
-  public boolean cancelled(String job) {
+  public boolean isCancelled(String job) {
     Entry<Job> j = jobs.get(job);
-    return toldCancelled.containsKey(job) || j != null && j.value().state() == Job.State.CANCELLED;
+    return peerCancellations.containsKey(job)
+        || j != null && j.value().state() == Job.State.CANCELLED;
   }
 
   /** Time of day, in ms, at which the cancellation of a cancelled job was written. */
   public long cancelledMs(String job) {
-    Told told = toldCancelled.get(job);
+    PeerCancellation reported = peerCancellations.get(job);
     Entry<Job> j = jobs.get(job);
-    return told != null ? told.cancelledMs() : j == null ? 0 : j.value().cancelledMs();
+    return reported != null ? reported.cancelledMs() : j == null ? 0 : j.value().cancelledMs();
   }
 
-  /** A sibling told of a cancellation that became durable at this revision. */
-  public void toldCancelled(String job, long stamp, long cancelledMs) {
-    if (stamp > revision && toldCancelled.putIfAbsent(job, new Told(stamp, cancelledMs)) == null) {
-      changes++;
-      lookAtMachinesOf(job);
+  /** Adds a cancellation that a peer reported, which became durable at the revision. */
+  public void addPeerCancellation(String job, long stamp, long cancelledMs) {
+    if (stamp > revision
+        && peerCancellations.putIfAbsent(job, new PeerCancellation(stamp, cancelledMs)) == null) {
+      changeCount++;
+      markMachinesChanged(job);
     }
   }
 
-  /** The cancelled jobs of this copy beyond a revision, each with its own. */
-  public SortedMap<Long, Set<String>> cancelledAfter(long rev) {
-    return cancelled.tailMap(rev, false);
+  /** Jobs in this cache that were cancelled after a revision, by revision of the cancellation. */
+  public SortedMap<Long, Set<String>> cancelledAfter(long revision) {
+    return cancelledByRevision.tailMap(revision, false);
   }
 
-  private void lookAtMachinesOf(String job) {
+  private void markMachinesChanged(String job) {
     for (Entry<Progress> c : progress.getOrDefault(job, NO_CHUNKS).values()) {
       for (int i : c.value().live.keySet()) {
-        changedMachines.addAll(places.getOrDefault(new TaskId(job, i), Set.of()));
+        changedMachines.addAll(taskMachines.getOrDefault(new TaskId(job, i), Set.of()));
       }
     }
   }
 
-  /** The partitions' records. */
+  /** Pages of the partitions' records. */
   public PartitionPages pages() {
     return pages;
   }
 
-  private String condition(Partition p, String machine) {
-    return pages.find(p, r -> r.conditionsByMachine().get(machine));
+  private String condition(Partition part, String machine) {
+    return pages.find(part, r -> r.conditionsByMachine().get(machine));
   }
 
-  /** The names of a partition's machines. */
-  public Set<String> machinesOf(Partition p) {
-    return machinesOf.getOrDefault(p, Set.of());
+  /** Names of a partition's machines. */
+  public Set<String> machinesOf(Partition part) {
+    return machinesByPartition.getOrDefault(part, Set.of());
   }
 
-  /** The tasks a partition's record has on a machine. */
-  public Map<TaskId, Integer> on(String machine) {
-    return on.getOrDefault(machine, Map.of());
+  /** Tasks on a machine by its partition's record, with their attempts. */
+  public Map<TaskId, Integer> tasksOn(String machine) {
+    return tasksByMachine.getOrDefault(machine, Map.of());
   }
 
-  public int granted(Partition p) {
-    return granted.getOrDefault(p, 0);
+  public int grantedCount(Partition part) {
+    return grantedCounts.getOrDefault(part, 0);
   }
 
-  public Set<TaskId> unplaced(Partition p) {
-    return unplaced.getOrDefault(p, Set.of());
+  public Set<TaskId> unplaced(Partition part) {
+    return unplaced.getOrDefault(part, Set.of());
   }
 
-  /** Tasks of a job that are done, whether its progress has that yet or not. */
-  public int done(String job) {
-    int n = 0;
-    for (Entry<Progress> p : progress.getOrDefault(job, NO_CHUNKS).values()) {
-      n += p.value().done.cardinality();
+  /** Number of a job's completed tasks, including those not yet in its stored progress. */
+  public int doneCount(String job) {
+    int count = 0;
+    for (Entry<Progress> chunk : progress.getOrDefault(job, NO_CHUNKS).values()) {
+      count += chunk.value().done.cardinality();
     }
-    return n;
+    return count;
   }
 
   private static final TreeMap<Integer, Entry<Progress>> NO_CHUNKS = new TreeMap<>();
 
-  /** Machines to look at since the last call: their records changed, or a task there is to stop. */
+  /** Takes the machines to check since the last call: those changed or with a task to stop. */
   public Set<String> takeChangedMachines() {
-    Set<String> out = changedMachines;
+    Set<String> changed = changedMachines;
     changedMachines = new LinkedHashSet<>();
-    return out;
+    return changed;
   }
 
-  private void grantEnds(TaskId t, Progress.LiveTask l) {
-    granted.merge(l.partition(), -1, Integer::sum);
-    unplaced.getOrDefault(l.partition(), Set.of()).remove(t);
+  private void grantRemoved(TaskId task, Progress.LiveTask grant) {
+    grantedCounts.merge(grant.partition(), -1, Integer::sum);
+    unplaced.getOrDefault(grant.partition(), Set.of()).remove(task);
   }
 
-  private void grantBegins(TaskId t, Progress.LiveTask l) {
-    granted.merge(l.partition(), 1, Integer::sum);
-    Set<String> at = places.get(t);
-    if (at == null) {
-      unplaced.computeIfAbsent(l.partition(), k -> new HashSet<>()).add(t);
-    } else if (l.stopRequested()) {
-      changedMachines.addAll(at);
+  private void grantAdded(TaskId task, Progress.LiveTask grant) {
+    grantedCounts.merge(grant.partition(), 1, Integer::sum);
+    Set<String> assigned = taskMachines.get(task);
+    if (assigned == null) {
+      unplaced.computeIfAbsent(grant.partition(), k -> new HashSet<>()).add(task);
+    } else if (grant.stopRequested()) {
+      changedMachines.addAll(assigned);
     }
   }
 
-  /** The task's grant, or null. */
-  public Progress.LiveTask grant(TaskId t) {
-    Progress p = progress(t.job(), t.index() / Constants.CHUNK_TASKS);
-    return p == null ? null : p.live.get(t.index());
+  /** Grant of the task, or null. */
+  public Progress.LiveTask grant(TaskId task) {
+    Progress p = progress(task.job(), task.index() / Constants.CHUNK_TASKS);
+    return p == null ? null : p.live.get(task.index());
   }
 
-  /** Everything up to this revision has been applied. */
-  void reached(long rev) {
+  /** Notes that all changes up to the revision have been applied. */
+  void advanceTo(long rev) {
     if (rev > revision) {
       revision = rev;
-      tombs.values().removeIf(s -> s <= rev);
-      toldCancelled.values().removeIf(t -> t.stamp() <= rev);
+      tombstones.values().removeIf(s -> s <= rev);
+      peerCancellations.values().removeIf(t -> t.stamp() <= rev);
     }
   }
 
@@ -288,58 +289,57 @@
   }
 
   void put(String key, JsonNode value, long stamp) {
-    if (stamp <= stamps.getOrDefault(key, 0L) || stamp <= tombs.getOrDefault(key, 0L)) {
+    if (stamp <= stamps.getOrDefault(key, 0L) || stamp <= tombstones.getOrDefault(key, 0L)) {
       return;
     }
     stamps.put(key, stamp);
-    changes++;
+    changeCount++;
     try {
       apply(key, value, stamp);
     } catch (RuntimeException e) {
-      // A value that someone else wrote must not end the controller; its stamp is kept all the
-      // same.
-      LOG.error("skipped the value of {}: {}", key, e.toString());
+      // A malformed value of another writer must not stop the controller; its stamp is kept.
+      LOG.error("failed to apply the value of {}: {}", key, e.toString());
     }
   }
 
   void delete(String key, long stamp) {
-    if (stamp <= stamps.getOrDefault(key, 0L) || stamp <= tombs.getOrDefault(key, 0L)) {
+    if (stamp <= stamps.getOrDefault(key, 0L) || stamp <= tombstones.getOrDefault(key, 0L)) {
       return;
     }
     stamps.remove(key);
     if (stamp > revision) {
-      tombs.put(key, stamp);
+      tombstones.put(key, stamp);
     }
-    changes++;
+    changeCount++;
     apply(key, null, stamp);
   }
 
   private void apply(String key, JsonNode v, long stamp) {
-    String[] p = key.split("/", 4);
-    String id = p.length > 2 ? p[2] : "";
-    switch (p.length > 1 ? p[1] : "") {
+    String[] segments = key.split("/", 4);
+    String id = segments.length > 2 ? segments[2] : "";
+    switch (segments.length > 1 ? segments[1] : "") {
       case "job" -> {
         set(jobs, id, v == null ? null : Records.job(id, v), stamp);
-        activate(id);
+        updateActive(id);
         if (v != null && !jobs.get(id).value().open()) {
           if (jobs.get(id).value().state() == Job.State.CANCELLED) {
-            cancelled.computeIfAbsent(stamp, k -> new HashSet<>()).add(id);
+            cancelledByRevision.computeIfAbsent(stamp, k -> new HashSet<>()).add(id);
           }
-          lookAtMachinesOf(id);
+          markMachinesChanged(id);
         }
       }
-      case "prog" -> progressChanged(key, id, Integer.parseInt(p[3]), v, stamp);
+      case "prog" -> progressChanged(key, id, Integer.parseInt(segments[3]), v, stamp);
       case "run" ->
           recordChanged(
               Partition.parse(id),
-              p.length > 3 ? Integer.parseInt(p[3]) : 0,
+              segments.length > 3 ? Integer.parseInt(segments[3]) : 0,
               v == null ? PartitionRecord.EMPTY : Records.partitionRecord(v));
       case "machine" -> {
         Machine next = v == null ? null : Records.machine(id, v, partitionsPerZone);
         Entry<Machine> old = machines.get(id);
         if (next != null) {
           String condition = condition(next.partition(), id);
-          next = next.withTasks(on(id));
+          next = next.withTasks(tasksOn(id));
           next =
               condition == null ? next : next.withCondition(Machine.Condition.valueOf(condition));
           for (String image : old == null ? List.<String>of() : old.value().images()) {
@@ -349,15 +349,15 @@
         }
         set(machines, id, next, stamp);
         if (next != null) {
-          machinesOf.computeIfAbsent(next.partition(), k -> new TreeSet<>()).add(id);
+          machinesByPartition.computeIfAbsent(next.partition(), k -> new TreeSet<>()).add(id);
         } else if (old != null) {
-          machinesOf.get(old.value().partition()).remove(id);
+          machinesByPartition.get(old.value().partition()).remove(id);
         }
         changedMachines.add(id);
       }
       case "layout" -> partitionsPerZone = v == null ? 0 : v.path("partitions_per_zone").asInt();
       case "claim" -> {
-        ownershipChanges++;
+        ownershipChangeCount++;
         set(
             claims,
             id,
@@ -365,7 +365,7 @@
             stamp);
       }
       case "member" -> {
-        ownershipChanges++;
+        ownershipChangeCount++;
         set(
             members,
             id,
@@ -385,19 +385,19 @@
           v.fields()
               .forEachRemaining(e -> next.put(e.getKey(), Drain.valueOf(e.getValue().asText())));
         }
-        for (String m : drainsOf.getOrDefault(Partition.parse(id), Map.of()).keySet()) {
-          if (!next.containsKey(m)) {
-            drains.remove(m);
-            changedMachines.add(m);
+        for (String name : drainsByPartition.getOrDefault(Partition.parse(id), Map.of()).keySet()) {
+          if (!next.containsKey(name)) {
+            drains.remove(name);
+            changedMachines.add(name);
           }
         }
         next.forEach(
-            (m, d) -> {
-              if (drains.put(m, d) != d) {
-                changedMachines.add(m);
+            (name, drain) -> {
+              if (drains.put(name, drain) != drain) {
+                changedMachines.add(name);
               }
             });
-        drainsOf.put(Partition.parse(id), next);
+        drainsByPartition.put(Partition.parse(id), next);
       }
       case "cordon" -> {
         if (v == null) {
@@ -414,58 +414,60 @@
     }
   }
 
-  /** The machines of a partition that are on their way out. */
-  public Map<String, Drain> drains(Partition p) {
-    return drainsOf.getOrDefault(p, Map.of());
+  /** Machines of a partition that are being drained. */
+  public Map<String, Drain> drains(Partition part) {
+    return drainsByPartition.getOrDefault(part, Map.of());
   }
 
-  private void activate(String id) {
-    Entry<Job> j = jobs.get(id);
-    if (j != null && (j.value().open() || progress.containsKey(id))) {
-      active.put(id, j);
+  private void updateActive(String job) {
+    Entry<Job> entry = jobs.get(job);
+    if (entry != null && (entry.value().open() || progress.containsKey(job))) {
+      activeJobs.put(job, entry);
     } else {
-      active.remove(id);
+      activeJobs.remove(job);
     }
   }
 
-  private void progressChanged(String key, String id, int chunk, JsonNode v, long stamp) {
-    TreeMap<Integer, Entry<Progress>> m = progress.computeIfAbsent(id, k -> new TreeMap<>());
-    Progress next = v == null ? null : Records.progress(v);
-    Entry<Progress> old = m.get(chunk);
+  private void progressChanged(String key, String job, int chunk, JsonNode value, long stamp) {
+    TreeMap<Integer, Entry<Progress>> chunks = progress.computeIfAbsent(job, k -> new TreeMap<>());
+    Progress next = value == null ? null : Records.progress(value);
+    Entry<Progress> old = chunks.get(chunk);
     if (old != null) {
-      old.value().live.forEach((i, l) -> grantEnds(new TaskId(id, i), l));
+      old.value().live.forEach((i, l) -> grantRemoved(new TaskId(job, i), l));
     }
     if (next == null) {
-      written.remove(key);
+      storedProgress.remove(key);
     } else {
-      written.put(key, next);
+      storedProgress.put(key, next);
       next = next.copy();
-      for (Ended e : ended.getOrDefault(id, Map.of()).values()) {
+      for (PageEndedTasks ended : endedTasks.getOrDefault(job, Map.of()).values()) {
         int from = chunk * Constants.CHUNK_TASKS;
         int to = from + Constants.CHUNK_TASKS;
-        for (int i = e.done().nextSetBit(from); i >= 0 && i < to; i = e.done().nextSetBit(i + 1)) {
+        for (int i = ended.done().nextSetBit(from);
+            i >= 0 && i < to;
+            i = ended.done().nextSetBit(i + 1)) {
           next.complete(i);
         }
-        for (Map.Entry<Integer, Integer> b : e.back().entrySet()) {
-          if (next.isLive(b.getKey(), b.getValue())) {
-            next.requeue(b.getKey());
+        for (Map.Entry<Integer, Integer> entry : ended.requeued().entrySet()) {
+          if (next.isLive(entry.getKey(), entry.getValue())) {
+            next.requeue(entry.getKey());
           }
         }
       }
-      next.live.forEach((i, l) -> grantBegins(new TaskId(id, i), l));
+      next.live.forEach((i, l) -> grantAdded(new TaskId(job, i), l));
     }
-    set(m, chunk, next, stamp);
-    if (m.isEmpty()) {
-      progress.remove(id);
+    set(chunks, chunk, next, stamp);
+    if (chunks.isEmpty()) {
+      progress.remove(job);
     }
-    activate(id);
+    updateActive(job);
   }
 
   private void recordChanged(Partition part, int page, PartitionRecord next) {
     PartitionRecord old = pages.put(part, page, next);
     for (String machine : old.tasksByMachine().keySet()) {
       if (!next.tasksByMachine().containsKey(machine)) {
-        // Where the record was given more pages the machine may stand on another one now.
+        // The machine may be on another page now, if the record was split into more pages.
         tasksChanged(
             machine, PartitionRecord.tasks(pages.find(part, r -> r.tasksByMachine().get(machine))));
       }
@@ -477,40 +479,43 @@
                 tasksChanged(machine, PartitionRecord.tasks(text));
               }
             });
-    Set<String> fit = new HashSet<>(old.conditionsByMachine().keySet());
-    fit.addAll(next.conditionsByMachine().keySet());
-    for (String machine : fit) {
+    Set<String> withCondition = new HashSet<>(old.conditionsByMachine().keySet());
+    withCondition.addAll(next.conditionsByMachine().keySet());
+    for (String machine : withCondition) {
       String condition = condition(part, machine);
-      Entry<Machine> e = machines.get(machine);
-      Machine.Condition c =
+      Entry<Machine> entry = machines.get(machine);
+      Machine.Condition nextCondition =
           condition == null ? Machine.Condition.OK : Machine.Condition.valueOf(condition);
-      if (e != null && c != e.value().condition()) {
-        machines.put(machine, new Entry<>(e.value().withCondition(c), e.stamp()));
+      if (entry != null && nextCondition != entry.value().condition()) {
+        machines.put(
+            machine, new Entry<>(entry.value().withCondition(nextCondition), entry.stamp()));
         changedMachines.add(machine);
       }
     }
     String key = Keys.record(part, page);
     Set<String> jobsChanged = new HashSet<>();
-    changed(old.completedByJob(), next.completedByJob(), jobsChanged);
-    changed(old.requeuedByJob(), next.requeuedByJob(), jobsChanged);
+    collectChangedJobs(old.completedByJob(), next.completedByJob(), jobsChanged);
+    collectChangedJobs(old.requeuedByJob(), next.requeuedByJob(), jobsChanged);
     for (String job : jobsChanged) {
       BitSet done = new BitSet();
       PartitionRecord.indexes(next.completedByJob().get(job)).keySet().forEach(done::set);
-      Map<Integer, Integer> back = PartitionRecord.indexes(next.requeuedByJob().get(job));
-      if (done.isEmpty() && back.isEmpty()) {
-        Map<String, Ended> m = ended.get(job);
-        if (m != null && m.remove(key) != null && m.isEmpty()) {
-          ended.remove(job);
+      Map<Integer, Integer> requeued = PartitionRecord.indexes(next.requeuedByJob().get(job));
+      if (done.isEmpty() && requeued.isEmpty()) {
+        Map<String, PageEndedTasks> byPage = endedTasks.get(job);
+        if (byPage != null && byPage.remove(key) != null && byPage.isEmpty()) {
+          endedTasks.remove(job);
         }
       } else {
-        ended.computeIfAbsent(job, k -> new HashMap<>()).put(key, new Ended(done, back));
+        endedTasks
+            .computeIfAbsent(job, k -> new HashMap<>())
+            .put(key, new PageEndedTasks(done, requeued));
         done.stream().forEach(i -> taskDone(job, i));
-        back.forEach((i, attempt) -> taskBack(job, i, attempt));
+        requeued.forEach((i, attempt) -> taskRequeued(job, i, attempt));
       }
     }
   }
 
-  private static void changed(
+  private static void collectChangedJobs(
       Map<String, String> old, Map<String, String> next, Set<String> jobsChanged) {
     next.forEach(
         (job, text) -> {
@@ -526,69 +531,70 @@
   }
 
   private void taskDone(String job, int index) {
-    Progress p = progress(job, index / Constants.CHUNK_TASKS);
-    if (p != null && !p.done.get(index)) {
-      Progress.LiveTask l = p.live.get(index);
-      if (l != null) {
-        grantEnds(new TaskId(job, index), l);
+    Progress chunk = progress(job, index / Constants.CHUNK_TASKS);
+    if (chunk != null && !chunk.done.get(index)) {
+      Progress.LiveTask grant = chunk.live.get(index);
+      if (grant != null) {
+        grantRemoved(new TaskId(job, index), grant);
       }
-      p.complete(index);
+      chunk.complete(index);
     }
   }
 
-  private void taskBack(String job, int index, int attempt) {
-    Progress p = progress(job, index / Constants.CHUNK_TASKS);
-    if (p != null && p.isLive(index, attempt)) {
-      grantEnds(new TaskId(job, index), p.live.get(index));
-      p.requeue(index);
+  private void taskRequeued(String job, int index, int attempt) {
+    Progress chunk = progress(job, index / Constants.CHUNK_TASKS);
+    if (chunk != null && chunk.isLive(index, attempt)) {
+      grantRemoved(new TaskId(job, index), chunk.live.get(index));
+      chunk.requeue(index);
     }
   }
 
   private void tasksChanged(String machine, Map<TaskId, Integer> next) {
-    Map<TaskId, Integer> old = on(machine);
-    for (TaskId t : old.keySet()) {
-      if (!next.containsKey(t)) {
-        Set<String> at = places.get(t);
-        at.remove(machine);
-        if (at.isEmpty()) {
-          places.remove(t);
-          Progress.LiveTask l = grant(t);
-          if (l != null) {
-            unplaced.computeIfAbsent(l.partition(), k -> new HashSet<>()).add(t);
+    Map<TaskId, Integer> old = tasksOn(machine);
+    for (TaskId task : old.keySet()) {
+      if (!next.containsKey(task)) {
+        Set<String> assigned = taskMachines.get(task);
+        assigned.remove(machine);
+        if (assigned.isEmpty()) {
+          taskMachines.remove(task);
+          Progress.LiveTask grant = grant(task);
+          if (grant != null) {
+            unplaced.computeIfAbsent(grant.partition(), k -> new HashSet<>()).add(task);
           }
         }
       }
     }
-    Set<TaskId> fresh = new HashSet<>();
-    for (TaskId t : next.keySet()) {
-      if (!old.containsKey(t)) {
-        fresh.add(t);
-        places.computeIfAbsent(t, k -> new HashSet<>()).add(machine);
-        Progress.LiveTask l = grant(t);
-        if (l != null) {
-          unplaced.getOrDefault(l.partition(), Set.of()).remove(t);
+    Set<TaskId> added = new HashSet<>();
+    for (TaskId task : next.keySet()) {
+      if (!old.containsKey(task)) {
+        added.add(task);
+        taskMachines.computeIfAbsent(task, k -> new HashSet<>()).add(machine);
+        Progress.LiveTask grant = grant(task);
+        if (grant != null) {
+          unplaced.getOrDefault(grant.partition(), Set.of()).remove(task);
         }
       }
     }
     if (next.isEmpty()) {
-      on.remove(machine);
+      tasksByMachine.remove(machine);
     } else {
-      on.put(machine, next);
+      tasksByMachine.put(machine, next);
     }
-    Entry<Machine> e = machines.get(machine);
-    if (e != null) {
-      machines.put(machine, new Entry<>(withImages(e.value().withTasks(next), fresh), e.stamp()));
+    Entry<Machine> entry = machines.get(machine);
+    if (entry != null) {
+      machines.put(
+          machine, new Entry<>(withImages(entry.value().withTasks(next), added), entry.stamp()));
     }
     changedMachines.add(machine);
   }
 
-  /** A machine fetches the image of what is put on it. */
-  private Machine withImages(Machine m, Set<TaskId> tasks) {
-    Machine next = m;
-    for (TaskId t : tasks) {
-      Entry<Job> j = jobs.get(t.job());
-      if (j != null && !next.images().contains(j.value().spec().image())) {
-        next = next.withImage(j.value().spec().image());
+  /** Adds the images of the tasks, since a machine fetches the image of each task it is given. */
+  private Machine withImages(Machine machine, Set<TaskId> tasks) {
+    Machine next = machine;
+    for (TaskId task : tasks) {
+      Entry<Job> job = jobs.get(task.job());
+      if (job != null && !next.images().contains(job.value().spec().image())) {
+        next = next.withImage(job.value().spec().image());
       }
     }
     return next;
--- a/src/main/java/org/baygw/control/store/Store.java
+++ b/src/main/java/org/baygw/control/store/Store.java
@@ -17,13 +17,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Client of the state service: the copy kept up by watches, conditional writes, and syncs that make
- * the copy current. Calls wait for tokens in the order of their urgency.
+ * Client of the state service: keeps the cache up to date by watches, sends conditional writes, and
+ * syncs the cache on demand. Calls wait for rate limit tokens in the order of their urgency.
  */
 public final class Store {
-  /** Urgency of a call, highest first. */
+  /** Urgency of a call, most urgent first. */
   public enum Urgency {
-    HOLD,
+    LEASE,
     CANCEL,
     SUBMIT,
     LAUNCH,
@@ -31,26 +31,26 @@
     MOVE
   }
 
-  /** How a conditional write ended. */
+  /** Outcome of a conditional write. */
   public enum Outcome {
-    /** It is durable, and the view has it. */
+    /** The write is durable, and the cache has it. */
     OK,
-    /** A condition did not hold; nothing changed. */
+    /** A condition was not met; nothing was written. */
     CONFLICT,
-    /** Certainly not carried out. */
+    /** The write was certainly not carried out. */
     REFUSED,
-    /** No answer: it may be carried out now, later or never. */
+    /** No answer arrived: the write may be carried out now, later or never. */
     UNKNOWN
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(Store.class);
 
   private final Clock clock;
-  private final StateCache view;
+  private final StateCache cache;
   private final RequestQueue queue;
   private final long watchWaitMs;
-  private final long watchGapMs;
-  private final long syncGapMs;
+  private final long watchIntervalMs;
+  private final long syncIntervalMs;
   private final Histogram writeMs =
       new Histogram(Constants.HISTOGRAM_MAX_MS, Constants.HISTOGRAM_DIGITS);
   private boolean loaded;
@@ -62,54 +62,55 @@
   private long waitingSince;
   private List<Consumer<Boolean>> syncWaiters = new ArrayList<>();
 
-  /** When the copy was last made current. */
-  private long lastCurrent = Long.MIN_VALUE / 2;
+  /** When an answer last brought the cache up to date. */
+  private long lastUpdate = Long.MIN_VALUE / 2;
 
-  /** When the latest request was sent whose answer made the copy current. */
+  /** Send time of the latest request whose answer brought the cache up to date. */
   private long currentAsOf = Long.MIN_VALUE / 2;
 
-  public Store(Clock clock, Outbox out, Settings s, StateCache view) {
+  public Store(Clock clock, Outbox out, Settings settings, StateCache cache) {
     this.clock = clock;
-    this.view = view;
-    this.queue = new RequestQueue(clock, out, s);
-    double all = s.peers().size() + 1;
-    this.watchWaitMs = s.workers().watermarkPeriodMs(Constants.WATCH_WAIT_MS);
-    this.watchGapMs =
+    this.cache = cache;
+    this.queue = new RequestQueue(clock, out, settings);
+    double controllers = settings.peers().size() + 1;
+    this.watchWaitMs = settings.workers().watermarkPeriodMs(Constants.WATCH_WAIT_MS);
+    this.watchIntervalMs =
         Math.max(
-            Constants.WATCH_GAP_MS,
-            Math.round(1000 * all / (s.state().rps() * Constants.WATCH_SHARE)));
-    this.syncGapMs =
+            Constants.WATCH_INTERVAL_MIN_MS,
+            Math.round(1000 * controllers / (settings.state().rps() * Constants.WATCH_SHARE)));
+    this.syncIntervalMs =
         Math.max(
-            Constants.SYNC_GAP_MS,
-            Math.round(1000 * all / (s.state().rps() * Constants.SYNC_SHARE)));
+            Constants.SYNC_INTERVAL_MIN_MS,
+            Math.round(1000 * controllers / (settings.state().rps() * Constants.SYNC_SHARE)));
   }
 
-  /** True once the whole state has been read. */
+  /** Whether all keys have been read at least once. */
   public boolean loaded() {
     return loaded;
   }
 
-  /** When the latest request was sent that the state service has answered. */
+  /** Send time of the latest request that the state service answered, 429 and 5xx aside. */
   public long lastContact() {
     return queue.lastContact();
   }
 
   /**
-   * The copy has all that was durable at this time: the sending of a request whose answer made it
-   * current. An answer may have been held up, and an open watch that is silent proves nothing.
+   * The cache has everything that was durable at this time, which is the send time of a request
+   * whose answer brought the cache up to date. The arrival time is not used because an answer may
+   * have been delayed, and an open watch without events proves nothing.
    */
   public long currentAsOf() {
     return currentAsOf;
   }
 
-  /** How long conditional writes took, with their wait for tokens. */
+  /** Time that conditional writes took, in ms; includes the wait for tokens unless deferred. */
   public Histogram writeMs() {
     return writeMs;
   }
 
   public void tick() {
     long now = clock.now();
-    if (!loaded || behind()) {
+    if (!loaded || tooFarBehind()) {
       if (!loading && !watching && !syncing && now >= nextWatch) {
         loading = true;
         list("", 0, clock.now(), new HashSet<>());
@@ -121,170 +122,190 @@
       if (!syncing
           && !syncWaiters.isEmpty()
           && now >= nextSync
-          && now >= waitingSince + Constants.SYNC_WAIT_MS) {
+          && now >= waitingSince + Constants.SYNC_DELAY_MS) {
         sync();
       }
     }
-    queue.pump();
+    queue.dispatch();
   }
 
   /**
-   * What this controller takes of the state service's limits: as much as each of the others, and
-   * some more where it has the leader.
+   * Sets this controller's share of the state service's rate limits: an even share, and an extra
+   * one while it is the leader.
    */
-  public void share(boolean leadership) {
-    queue.share(leadership);
+  public void updateShare(boolean isLeader) {
+    queue.updateShare(isLeader);
   }
 
-  /** Whether writes are to be drawn together: tokens for them are running out. */
-  public boolean scarce() {
-    return queue.scarce();
+  /** Whether write tokens are running low, so that callers should batch their writes. */
+  public boolean writeTokensLow() {
+    return queue.writeTokensLow();
   }
 
   /**
-   * Whether so much may have changed since the copy was current that reading all keys anew is less
-   * than reading all changes: an answer with a minute's changes takes longer than its call may.
+   * Whether so much may have changed since the last update of the cache that listing all keys is
+   * cheaper than reading all changes: an answer with the changes of a minute takes longer than the
+   * request's timeout.
    */
-  private boolean behind() {
-    return clock.now() - lastCurrent > Constants.BEHIND_MS;
+  private boolean tooFarBehind() {
+    return clock.now() - lastUpdate > Constants.RELIST_AFTER_MS;
   }
 
-  /** Sends a conditional write; it is refused if no token comes free within waitMs. */
-  public void txn(Urgency u, Txn t, long waitMs, Consumer<Outcome> then) {
-    long asked = clock.now();
+  /** Sends a conditional write; the outcome is REFUSED if no token is free within waitMs. */
+  public void txn(Urgency urgency, Txn txn, long waitMs, Consumer<Outcome> callback) {
+    long requestedAt = clock.now();
     request(
-        u,
+        urgency,
         "POST",
         "/txn",
-        Json.bytes(t.toJson()),
-        t.writes(),
+        Json.bytes(txn.toJson()),
+        txn.writeCount(),
         waitMs,
         Constants.STATE_TIMEOUT_MS,
-        (status, answer) -> outcome(t, asked, status, answer, then));
+        (status, answer) -> handleAnswer(txn, requestedAt, status, answer, callback));
   }
 
-  private void outcome(Txn t, long asked, int status, byte[] answer, Consumer<Outcome> then) {
-    writeMs.recordValue(Math.min(clock.now() - asked, Constants.HISTOGRAM_MAX_MS));
+  private void handleAnswer(
+      Txn txn, long requestedAt, int status, byte[] answer, Consumer<Outcome> callback) {
+    writeMs.recordValue(Math.min(clock.now() - requestedAt, Constants.HISTOGRAM_MAX_MS));
     if (status == 200) {
-      long rev = Json.parse(answer).path("ledgerRev").asLong();
-      // Our own change is known at once; the watch brings it again later, with the same stamp.
-      t.then.forEach(
-          (k, c) -> {
-            if (c.value() == null) {
-              view.delete(k, rev);
+      long revision = Json.parse(answer).path("ledgerRev").asLong();
+      // Apply the write at once. The watch repeats it later with the same stamp, without effect.
+      txn.changes.forEach(
+          (key, change) -> {
+            if (change.value() == null) {
+              cache.delete(key, revision);
             } else {
-              view.put(k, c.value(), rev);
+              cache.put(key, change.value(), revision);
             }
           });
-      then.accept(Outcome.OK);
+      callback.accept(Outcome.OK);
     } else if (status == 409) {
       refresh();
-      then.accept(Outcome.CONFLICT);
+      callback.accept(Outcome.CONFLICT);
     } else if (status == Outbox.NO_ANSWER) {
-      then.accept(Outcome.UNKNOWN);
+      callback.accept(Outcome.UNKNOWN);
     } else {
       if (status == 400) {
-        LOG.warn("the state service took a write for malformed: {}", new String(answer));
+        LOG.warn("the state service rejected a write as malformed: {}", new String(answer));
       }
-      then.accept(Outcome.REFUSED);
+      callback.accept(Outcome.REFUSED);
     }
   }
 
   /**
-   * Sends a conditional write until it is certain how it ended. A write without an answer may still
-   * be carried out later, so its sender may not act as if it were not: it is sent again until it
-   * succeeds or fails for good, and after a failure the view is made current first.
+   * Sends a conditional write until its outcome is certain; the callback gets whether it succeeded.
+   * A write without an answer may still be carried out later, so its sender must not treat it as
+   * failed: it is sent again until it certainly succeeds or fails. After a conflict the cache is
+   * brought up to date before the callback runs.
    */
-  public void settle(Urgency u, Txn t, long waitMs, Consumer<Boolean> then) {
-    settle(u, t, waitMs, false, then);
+  public void txnWithRetry(Urgency urgency, Txn txn, long waitMs, Consumer<Boolean> callback) {
+    txnWithRetry(urgency, txn, waitMs, false, callback);
   }
 
   /**
-   * Like the other, but the write is made up only when tokens for it are there, so that all that
-   * came up while it waited goes into the one write. Null means that there is nothing to write any
-   * more.
+   * As above, but the write is built only when tokens for it are available, so that it includes all
+   * changes that came up during the wait. The builder returns null if nothing is left to write; the
+   * callback then gets false.
    */
-  public void settle(Urgency u, Supplier<Txn> late, Consumer<Boolean> then) {
-    queue.addLate(u, late, t -> sendLate(u, t, then), (status, body) -> then.accept(false));
+  public void txnWithRetry(Urgency urgency, Supplier<Txn> builder, Consumer<Boolean> callback) {
+    queue.addDeferred(
+        urgency,
+        builder,
+        txn -> sendDeferred(urgency, txn, callback),
+        (status, body) -> callback.accept(false));
   }
 
-  private void sendLate(Urgency u, Txn t, Consumer<Boolean> then) {
-    long asked = clock.now();
+  private void sendDeferred(Urgency urgency, Txn txn, Consumer<Boolean> callback) {
+    long requestedAt = clock.now();
     queue.send(
-        t,
+        txn,
         (status, answer) ->
-            outcome(
-                t,
-                asked,
+            handleAnswer(
+                txn,
+                requestedAt,
                 status,
                 answer,
-                o -> settled(u, t, Constants.STATE_TIMEOUT_MS, false, then, o)));
+                outcome ->
+                    handleOutcome(
+                        urgency, txn, Constants.STATE_TIMEOUT_MS, false, callback, outcome)));
   }
 
-  private void settle(Urgency u, Txn t, long waitMs, boolean doubt, Consumer<Boolean> then) {
-    txn(u, t, waitMs, outcome -> settled(u, t, waitMs, doubt, then, outcome));
+  private void txnWithRetry(
+      Urgency urgency, Txn txn, long waitMs, boolean mayBeApplied, Consumer<Boolean> callback) {
+    txn(
+        urgency,
+        txn,
+        waitMs,
+        outcome -> handleOutcome(urgency, txn, waitMs, mayBeApplied, callback, outcome));
   }
 
-  private void settled(
-      Urgency u, Txn t, long waitMs, boolean doubt, Consumer<Boolean> then, Outcome outcome) {
+  private void handleOutcome(
+      Urgency urgency,
+      Txn txn,
+      long waitMs,
+      boolean mayBeApplied,
+      Consumer<Boolean> callback,
+      Outcome outcome) {
     switch (outcome) {
-      case OK -> then.accept(true);
-      case CONFLICT -> whenCurrent(() -> then.accept(false));
+      case OK -> callback.accept(true);
+      case CONFLICT -> runWhenCurrent(() -> callback.accept(false));
       case REFUSED -> {
-        if (doubt) {
-          settle(u, t, waitMs, true, then);
+        if (mayBeApplied) {
+          txnWithRetry(urgency, txn, waitMs, true, callback);
         } else {
-          then.accept(false);
+          callback.accept(false);
         }
       }
-      case UNKNOWN -> settle(u, t, waitMs, true, then);
+      case UNKNOWN -> txnWithRetry(urgency, txn, waitMs, true, callback);
     }
   }
 
-  private void whenCurrent(Runnable then) {
-    current(
+  private void runWhenCurrent(Runnable action) {
+    whenCurrent(
         ok -> {
           if (ok) {
-            then.run();
+            action.run();
           } else {
-            whenCurrent(then);
+            runWhenCurrent(action);
           }
         });
   }
 
-  /** Any other call; status NOT_SENT where no token came free in time. */
+  /** Sends any other request; the status is NOT_SENT if no token is free within waitMs. */
   public void request(
-      Urgency u,
+      Urgency urgency,
       String method,
       String path,
       byte[] body,
       int writeCount,
       long waitMs,
       long timeoutMs,
-      Outbox.Callback then) {
-    queue.add(u, method, path, body, writeCount, waitMs, timeoutMs, then);
+      Outbox.Callback callback) {
+    queue.add(urgency, method, path, body, writeCount, waitMs, timeoutMs, callback);
   }
 
   /**
-   * Runs the action once the view holds all that was durable when this was called, or has failed.
+   * Calls back with true once the cache has everything that was durable at the time of this call,
+   * or with false if it could not be updated.
    */
-  public void current(Consumer<Boolean> then) {
+  public void whenCurrent(Consumer<Boolean> callback) {
     waitingSince = syncWaiters.isEmpty() ? clock.now() : waitingSince;
-    syncWaiters.add(then);
+    syncWaiters.add(callback);
   }
 
-  /** Asks for a sync soon, with nobody waiting for it. */
+  /** Requests an update of the cache without waiting for it. */
   public void refresh() {
     if (syncWaiters.isEmpty()) {
-      current(ok -> {});
+      whenCurrent(ok -> {});
     }
   }
 
-  private void list(String after, long firstRev, long begun, Set<String> seen) {
+  private void list(String after, long firstRevision, long startedAt, Set<String> seen) {
     String path =
         "/kv?under=" + Keys.ROOT + "&page=500" + (after.isEmpty() ? "" : "&after=" + after);
     request(
-        Urgency.HOLD,
+        Urgency.LEASE,
         "GET",
         path,
         null,
@@ -292,40 +313,40 @@
         Constants.STATE_TIMEOUT_MS,
         Constants.STATE_TIMEOUT_MS * 2L,
         (status, answer) -> {
-          JsonNode n = Json.parse(answer);
-          if (status != 200 || !n.path("ledgerRev").isNumber()) {
+          JsonNode response = Json.parse(answer);
+          if (status != 200 || !response.path("ledgerRev").isNumber()) {
             loading = false;
             nextWatch = clock.now() + Constants.STATE_RETRY_MS;
-            answerWaiters(false);
+            notifyWaiters(false);
             return;
           }
-          long rev = firstRev == 0 ? n.path("ledgerRev").asLong() : firstRev;
+          long revision = firstRevision == 0 ? response.path("ledgerRev").asLong() : firstRevision;
           String last = after;
-          for (JsonNode e : n.path("entries")) {
-            last = e.path("key").asText();
+          for (JsonNode entry : response.path("entries")) {
+            last = entry.path("key").asText();
             seen.add(last);
-            view.put(last, e.path("value"), e.path("stamp").asLong());
+            cache.put(last, entry.path("value"), entry.path("stamp").asLong());
           }
-          if (n.path("more").asBoolean()) {
-            list(last, rev, begun, seen);
+          if (response.path("more").asBoolean()) {
+            list(last, revision, startedAt, seen);
             return;
           }
-          // After a gap in the watch: what is no longer listed was deleted meanwhile.
-          for (String key : view.keys()) {
-            if (!seen.contains(key) && view.stamp(key) <= rev) {
-              view.delete(key, rev);
+          // A known key that is not listed was deleted during a gap in the watch.
+          for (String key : cache.keys()) {
+            if (!seen.contains(key) && cache.stamp(key) <= revision) {
+              cache.delete(key, revision);
             }
           }
-          view.reached(rev);
+          cache.advanceTo(revision);
           loading = false;
           loaded = true;
-          lastCurrent = clock.now();
-          currentAsOf = Math.max(currentAsOf, begun);
-          LOG.info("read {} keys at revision {}", seen.size(), rev);
+          lastUpdate = clock.now();
+          currentAsOf = Math.max(currentAsOf, startedAt);
+          LOG.info("read {} keys at revision {}", seen.size(), revision);
         });
   }
 
-  private void answerWaiters(boolean ok) {
+  private void notifyWaiters(boolean ok) {
     takeWaiters().forEach(w -> w.accept(ok));
   }
 
@@ -335,14 +356,14 @@
     return waiters;
   }
 
-  /** Opens a watch; where someone waits for the copy it answers at once, so no sync is needed. */
+  /** Opens a watch; it is answered at once if callers wait for the cache, instead of a sync. */
   private void watch() {
     if (!queue.takeToken()) {
       return;
     }
     watching = true;
-    nextWatch = clock.now() + watchGapMs;
-    changes(
+    nextWatch = clock.now() + watchIntervalMs;
+    requestChanges(
         syncWaiters.isEmpty() ? watchWaitMs : 0,
         ok -> {
           watching = false;
@@ -350,14 +371,14 @@
         });
   }
 
-  /** Asks for what has changed beside a watch that has nothing to tell. */
+  /** Requests the latest changes while an open watch has no events. */
   private void sync() {
     if (!queue.takeToken()) {
       return;
     }
     syncing = true;
-    nextSync = clock.now() + syncGapMs;
-    changes(
+    nextSync = clock.now() + syncIntervalMs;
+    requestChanges(
         0,
         ok -> {
           syncing = false;
@@ -365,44 +386,44 @@
         });
   }
 
-  private void changes(long waitMs, Consumer<Boolean> then) {
+  private void requestChanges(long waitMs, Consumer<Boolean> callback) {
     List<Consumer<Boolean>> waiters = takeWaiters();
-    long sent = clock.now();
+    long sentAt = clock.now();
     queue.send(
         "GET",
-        "/watch?under=" + Keys.ROOT + "&after=" + view.revision() + "&waitMs=" + waitMs,
+        "/watch?under=" + Keys.ROOT + "&after=" + cache.revision() + "&waitMs=" + waitMs,
         null,
         waitMs > 0 ? waitMs + 2L * Constants.STATE_TIMEOUT_MS : Constants.STATE_TIMEOUT_MS,
         (status, answer) -> {
-          boolean ok = events(sent, status, answer);
-          then.accept(ok);
+          boolean ok = applyEvents(sentAt, status, answer);
+          callback.accept(ok);
           waiters.forEach(w -> w.accept(ok));
         });
   }
 
-  private boolean events(long sent, int status, byte[] answer) {
+  private boolean applyEvents(long sentAt, int status, byte[] answer) {
     if (status == 410) {
-      lastCurrent = Long.MIN_VALUE / 2; // too far behind: everything is read again
+      lastUpdate = Long.MIN_VALUE / 2; // the service no longer has these changes: list all keys
       return false;
     }
-    JsonNode n = status == 200 ? Json.parse(answer) : null;
-    if (n == null || !n.path("ledgerRev").isNumber()) {
+    JsonNode response = status == 200 ? Json.parse(answer) : null;
+    if (response == null || !response.path("ledgerRev").isNumber()) {
       return false;
     }
-    for (JsonNode e : n.path("events")) {
-      long stamp = e.path("stamp").asLong();
-      if (stamp <= view.revision()) {
-        continue; // an overtaken answer
+    for (JsonNode event : response.path("events")) {
+      long stamp = event.path("stamp").asLong();
+      if (stamp <= cache.revision()) {
+        continue; // applied already by a later answer
       }
-      if (e.has("write")) {
-        view.put(e.path("write").asText(), e.path("value"), stamp);
+      if (event.has("write")) {
+        cache.put(event.path("write").asText(), event.path("value"), stamp);
       } else {
-        view.delete(e.path("delete").asText(), stamp);
+        cache.delete(event.path("delete").asText(), stamp);
       }
     }
-    view.reached(n.path("ledgerRev").asLong());
-    lastCurrent = clock.now();
-    currentAsOf = Math.max(currentAsOf, sent);
+    cache.advanceTo(response.path("ledgerRev").asLong());
+    lastUpdate = clock.now();
+    currentAsOf = Math.max(currentAsOf, sentAt);
     return true;
   }
 }
--- a/src/main/java/org/baygw/control/workers/EndedTasks.java
+++ b/src/main/java/org/baygw/control/workers/EndedTasks.java
@@ -27,13 +27,13 @@
     removeMatching(
         page.completedByJob(),
         (job, index, attempt) -> {
-          Progress progress = view.written(job, index / Constants.CHUNK_TASKS);
+          Progress progress = view.storedProgress(job, index / Constants.CHUNK_TASKS);
           return progress == null || progress.done.get(index);
         });
     removeMatching(
         page.requeuedByJob(),
         (job, index, attempt) -> {
-          Progress progress = view.written(job, index / Constants.CHUNK_TASKS);
+          Progress progress = view.storedProgress(job, index / Constants.CHUNK_TASKS);
           return progress == null || !progress.isLive(index, attempt);
         });
   }
--- a/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
+++ b/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
@@ -108,7 +108,7 @@
         continue;
       }
       long since = unplacedSince.computeIfAbsent(task, k -> now);
-      boolean revoked = !view.runs(task.job()) || grant.stopRequested();
+      boolean revoked = !view.shouldRun(task.job()) || grant.stopRequested();
       JobSpec spec = revoked ? null : jobEntry.value().spec();
       MachineCapacity capacity = null;
       boolean sameMachine = false;
--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -135,7 +135,7 @@
     }
 
     int writes() {
-      return txn.writes() + changedPages.size();
+      return txn.writeCount() + changedPages.size();
     }
 
     boolean changed() {
@@ -152,7 +152,7 @@
         bytes += size(other);
       }
       return changedPages.size() < maxPagesPerWrite()
-          && bytes < Constants.MAX_BODY * Constants.RECORD_WRITE_SHARE
+          && bytes < Constants.MAX_BODY_BYTES * Constants.RECORD_WRITE_SHARE
           && writes() < settings.state().txnOps();
     }
 
@@ -181,7 +181,7 @@
 
     Map<TaskId, Integer> editableTasks(String machine) {
       markChanged(pageOf(machine));
-      return tasksOn.computeIfAbsent(machine, k -> new LinkedHashMap<>(view.on(machine)));
+      return tasksOn.computeIfAbsent(machine, k -> new LinkedHashMap<>(view.tasksOn(machine)));
     }
 
     void addEnded(
@@ -275,12 +275,12 @@
     long minIntervalMs =
         Constants.RECORD_WRITE_INTERVAL_MS
             + Constants.RECORD_WRITE_INTERVAL_PER_PAGE_MS * (maxPagesPerWrite() - 1);
-    if (store.scarce() && now < lastWrite + minIntervalMs) {
+    if (store.writeTokensLow() && now < lastWrite + minIntervalMs) {
       return; // changes until then share the write
     }
     queued = true;
     Draft[] draft = new Draft[1];
-    store.settle(
+    store.txnWithRetry(
         Store.Urgency.LAUNCH,
         () -> {
           draft[0] = writing ? null : buildDraft();
@@ -369,7 +369,7 @@
       bytes += draft.changedPages.contains(page) ? 0 : draft.size(page);
       if (pagesAfter > pagesBefore
           && (draft.writes() + writes > settings.state().txnOps()
-              || bytes > Constants.MAX_BODY * Constants.RECORD_WRITE_SHARE)) {
+              || bytes > Constants.MAX_BODY_BYTES * Constants.RECORD_WRITE_SHARE)) {
         break;
       }
       draft.markChanged(page);
@@ -392,7 +392,7 @@
     int maxBytes = 0;
     int totalBytes = 0;
     for (int page = 0; page < pages; page++) {
-      int bytes = view.pages().onBytes(partition, page);
+      int bytes = view.pages().assignmentBytes(partition, page);
       maxBytes = Math.max(maxBytes, bytes);
       totalBytes += bytes;
     }
@@ -450,7 +450,7 @@
       condition = null;
       if ((draft.tasksOn.containsKey(name) ? draft.tasksOn.get(name) : machine.tasks()).isEmpty()) {
         // One operation stays reserved for the page from which the machine's condition is removed.
-        if (draft.txn.writes() < Constants.DELETES_PER_WRITE
+        if (draft.txn.writeCount() < Constants.DELETES_PER_WRITE
             && draft.writes() + 1 < settings.state().txnOps()) {
           draft.txn.delete(Keys.machine(name));
         } else {
@@ -480,7 +480,7 @@
     StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
     if (entry == null
         || draft.moveTarget != null
-        || !view.runs(task.job())
+        || !view.shouldRun(task.job())
         || view.grant(task).stopRequested()) {
       return false;
     }
@@ -520,7 +520,7 @@
       String firstPageKey = Keys.record(targetMachine.partition(), 0);
       String pageKey = Keys.record(targetMachine.partition(), page);
       PartitionRecord targetPage = view.pages().get(targetMachine.partition(), page).copy();
-      Map<TaskId, Integer> tasksOnTarget = new LinkedHashMap<>(view.on(name));
+      Map<TaskId, Integer> tasksOnTarget = new LinkedHashMap<>(view.tasksOn(name));
       tasksOnTarget.put(task, attempt);
       targetPage.tasksByMachine().put(name, PartitionRecord.tasks(tasksOnTarget));
       draft
@@ -548,7 +548,7 @@
       StateCache.Entry<Job> jobEntry = view.jobs.get(job);
       if (jobEntry == null
           || !jobEntry.value().open()
-          || view.done(job) + ended.get(job) < jobEntry.value().spec().tasks()) {
+          || view.doneCount(job) + ended.get(job) < jobEntry.value().spec().tasks()) {
         continue;
       }
       int writes = 1 + jobEntry.value().progressChunks();
@@ -578,7 +578,7 @@
   private void placeTasks(Draft draft) {
     int maxConditions =
         settings.state().txnOps() * 4
-            - draft.txn.conditions()
+            - draft.txn.conditionCount()
             - maxPagesPerWrite()
             - OTHER_CONDITIONS;
     FirstFitPlacer.Plan plan = placer.plan(partition, claim, tasksInWrite, maxConditions, draft);
--- a/src/main/java/org/baygw/control/workers/TerminationEvidence.java
+++ b/src/main/java/org/baygw/control/workers/TerminationEvidence.java
@@ -28,7 +28,7 @@
   TerminationEvidence(Clock clock, Settings settings, StateCache view) {
     this.clock = clock;
     this.view = view;
-    this.leaseMs = (long) (settings.workers().leaseS() * 1000 * (1 + Constants.DRIFT));
+    this.leaseMs = (long) (settings.workers().leaseS() * 1000 * (1 + Constants.CLOCK_DRIFT));
   }
 
   long leaseMs() {
@@ -90,7 +90,7 @@
     // next owner would not know of it.
     return absent
             && (worker.leaseExpired
-                ? !view.cancelled(task.job())
+                ? !view.isCancelled(task.job())
                 : !shouldRun(task, attempt, machine))
         ? End.NOT_DONE
         : null;
@@ -98,7 +98,7 @@
 
   /** Whether the task should keep running on the machine under this attempt. */
   boolean shouldRun(TaskId task, int attempt, Machine machine) {
-    if (!view.runs(task.job())) {
+    if (!view.shouldRun(task.job())) {
       return false;
     }
     Progress.LiveTask grant = view.grant(task);
--- a/src/main/java/org/baygw/control/workers/WorkerCommands.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCommands.java
@@ -262,7 +262,7 @@
       boolean onRecord,
       PartitionWriter writer) {
     StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
-    boolean runs = view.runs(task.job());
+    boolean runs = view.shouldRun(task.job());
     if (!onRecord || !runs) {
       return writer.inWrite(task) && runs ? null : Double.valueOf(0);
     }
--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -200,8 +200,8 @@
     reachability.tick();
     commands.beginTick();
     boolean checkAll = now >= nextCheck || ownershipChanged();
-    if (checkAll || view.changes() != checkedChanges) {
-      checkedChanges = view.changes();
+    if (checkAll || view.changeCount() != checkedChanges) {
+      checkedChanges = view.changeCount();
       view.takeChangedMachines().forEach(m -> checkMachine(m, true));
       if (checkAll) {
         nextCheck = now + Constants.MACHINE_CHECK_MS;
@@ -542,7 +542,7 @@
             List.of(),
             partition);
     worker.recordWriteInProgress = true;
-    store.settle(
+    store.txnWithRetry(
         Store.Urgency.LAUNCH,
         new Txn()
             .when(Keys.machine(machine.name()), 0)
