--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -497,16 +497,16 @@
   public static final long ERROR_BACKOFF_MAX_MS = 60_000;
 
   /** Multiple of the machine list's lag for which a rented machine may be missing from it. */
-  public static final double UNLISTED_LAGS = 4;
+  public static final double UNLISTED_LIST_LAGS = 4;
 
   /** Interval between checks for machines to rent or return: a boot takes seconds. */
   public static final long FLEET_PLAN_MS = 250;
 
   /** Interval between listings of the cloud's machines. */
-  public static final long MACHINE_LIST_MS = 2_500;
+  public static final long CLOUD_LIST_INTERVAL_MS = 2_500;
 
   /** Interval between reads of the machine types, to follow spot prices. */
-  public static final long MACHINE_TYPES_MS = 60_000;
+  public static final long MACHINE_TYPES_INTERVAL_MS = 60_000;
 
   /** Timeout of a cloud call; calls take 200 ms. */
   public static final int CLOUD_TIMEOUT_MS = 4_000;
@@ -524,10 +524,10 @@
   public static final double BOOT_LATE_FACTOR = 1.6;
 
   /** Late machines of a type, not overtaken by newer ones, at which the cloud counts as slow. */
-  public static final int SLOW_CLOUD_LATE_MACHINES = 4;
+  public static final int SLOW_CLOUD_LATE_BOOTS = 4;
 
   /** Multiple of the nominal boot time after which a machine is given up if the cloud is slow. */
-  public static final double BOOT_GIVE_UP_SLOW_FACTOR = 8.0;
+  public static final double BOOT_GIVE_UP_SLOW_CLOUD_FACTOR = 8.0;
 
   /** Multiple of the nominal boot time after which a machine is given up. */
   public static final double BOOT_GIVE_UP_FACTOR = 3.0;
@@ -536,7 +536,7 @@
   public static final double IDLE_BOOT_TIMES = 0.7;
 
   /** Boot times for which array jobs wait for spot machines before on-demand ones are rented. */
-  public static final double SPOT_WAIT_BOOT_TIMES = 0.4;
+  public static final double SPOT_WAIT_BOOTS = 0.4;
 
   /** Machines per rental request (protocol). */
   public static final int MAX_RENT = 50;
--- a/src/main/java/org/baygw/control/fleet/BootProgress.java
+++ b/src/main/java/org/baygw/control/fleet/BootProgress.java
@@ -60,9 +60,9 @@
     if (overtaken(machine)) {
       return boots > Constants.BOOT_GIVE_UP_FACTOR ? Expectation.GIVEN_UP : Expectation.REPLACED;
     }
-    boolean cloudIsSlow =
-        late.getOrDefault(machine.type(), 0) >= Constants.SLOW_CLOUD_LATE_MACHINES;
-    double most = cloudIsSlow ? Constants.BOOT_GIVE_UP_SLOW_FACTOR : Constants.BOOT_GIVE_UP_FACTOR;
+    boolean cloudIsSlow = late.getOrDefault(machine.type(), 0) >= Constants.SLOW_CLOUD_LATE_BOOTS;
+    double most =
+        cloudIsSlow ? Constants.BOOT_GIVE_UP_SLOW_CLOUD_FACTOR : Constants.BOOT_GIVE_UP_FACTOR;
     return boots > most ? Expectation.GIVEN_UP : Expectation.AWAITED;
   }
 
--- a/src/main/java/org/baygw/control/fleet/Rentals.java
+++ b/src/main/java/org/baygw/control/fleet/Rentals.java
@@ -80,7 +80,7 @@
     this.view = view;
     this.cloud = cloud;
     this.inventory = inventory;
-    this.unlistedMs = (long) (settings.cloud().listLagS() * 1000 * Constants.UNLISTED_LAGS);
+    this.unlistedMs = (long) (settings.cloud().listLagS() * 1000 * Constants.UNLISTED_LIST_LAGS);
   }
 
   /** Begins anew: this controller has become the leader under this claim. */
