--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -351,16 +351,16 @@
   public static final long STALL_MS = 400;
 
   /** Share of a zone's machines silent at once that points at the network, not at them. */
-  public static final double SILENT_SHARE_MAX = 0.4;
+  public static final double OUTAGE_SILENT_SHARE = 0.4;
 
   /** Report periods a silent machine is kept in any case, to see whether others fall silent too. */
-  public static final double SILENT_REPORTS = 0.5;
+  public static final double SILENT_MIN_REPORTS = 0.5;
 
   /**
    * Report periods for which machines silent at the end of such a cut are kept: they look for a
    * node.
    */
-  public static final double SILENT_AFTER_CUT = 2;
+  public static final double SILENT_AFTER_OUTAGE_REPORTS = 2;
 
   /** ms for which so many silent machines are kept: a cut ends, and new machines take a boot. */
   public static final long SILENT_KEEP_MS = 60_000;
@@ -368,7 +368,7 @@
   /**
    * Share of the time for a cancellation after which a silent machine with cancelled tasks goes.
    */
-  public static final double CANCEL_SHARE = 0.4;
+  public static final double SILENT_CANCEL_SHARE = 0.4;
 
   /**
    * Share of the time for a cancellation after which a partition's owner has the cloud take a
@@ -449,16 +449,16 @@
   public static final long ERROR_BACKOFF_MAX_MS = 60_000;
 
   /** Times the list's lag for which a machine that was rented may be missing from it. */
-  public static final double LIST_LAGS = 4;
+  public static final double UNLISTED_LIST_LAGS = 4;
 
   /** ms between two looks at what is to be rented or returned: a boot takes seconds. */
-  public static final long FLEET_PLAN_MS = 250;
+  public static final long FLEET_INTERVAL_MS = 250;
 
   /** ms between listings of the cloud's machines. */
-  public static final long LIST_MS = 2_500;
+  public static final long CLOUD_LIST_INTERVAL_MS = 2_500;
 
   /** ms between readings of the machine types, for spot prices. */
-  public static final long TYPES_MS = 60_000;
+  public static final long MACHINE_TYPES_INTERVAL_MS = 60_000;
 
   /** ms for a cloud call: they take 200 ms. */
   public static final int CLOUD_TIMEOUT_MS = 4_000;
@@ -467,27 +467,27 @@
   public static final long CLOUD_RETRY_MS = 1_000;
 
   /** ms a kind of machine is not asked for after "no capacity". */
-  public static final long NO_CAPACITY_MS = 8_000;
+  public static final long NO_CAPACITY_BACKOFF_MS = 8_000;
 
   /**
    * Times the nominal boot time after which a machine is late: usually it takes 1.5 at the most.
    */
-  public static final double BOOT_LATE = 1.6;
+  public static final double BOOT_LATE_FACTOR = 1.6;
 
   /** Late machines of a type, none overtaken by a newer one, that show that the cloud is slow. */
-  public static final int BOOT_LATE_MANY = 4;
+  public static final int SLOW_CLOUD_LATE_BOOTS = 4;
 
   /** Times the nominal boot time after which a machine is given up where the cloud is slow. */
-  public static final double BOOT_GIVE_UP_SLOW = 8.0;
+  public static final double BOOT_GIVE_UP_SLOW_CLOUD_FACTOR = 8.0;
 
   /** Times the nominal boot time after which a machine is given up. */
-  public static final double BOOT_GIVE_UP = 3.0;
+  public static final double BOOT_GIVE_UP_FACTOR = 3.0;
 
   /** Boot times an empty machine is kept: what it saves is the wait for another to boot. */
   public static final double IDLE_BOOTS = 0.7;
 
   /** Boot times that array work waits for spot machines before ordinary ones are rented for it. */
-  public static final double DEARER_BOOTS = 0.4;
+  public static final double SPOT_WAIT_BOOTS = 0.4;
 
   /** Machines per rental request (protocol). */
   public static final int MAX_RENT = 50;
--- a/src/main/java/org/baygw/control/cloud/Cloud.java
+++ b/src/main/java/org/baygw/control/cloud/Cloud.java
@@ -184,7 +184,7 @@
   }
 
   /** Gives machines back; true once they and all that was on them are gone. */
-  public void giveBack(Collection<String> names, Consumer<Boolean> then) {
+  public void returnMachines(Collection<String> names, Consumer<Boolean> then) {
     ObjectNode n = Json.object();
     ArrayNode a = n.putArray("hosts");
     names.forEach(a::add);
--- a/src/main/java/org/baygw/control/fleet/BootProgress.java
+++ b/src/main/java/org/baygw/control/fleet/BootProgress.java
@@ -45,7 +45,7 @@
           machine.status().equals("booting") && !view.machines.containsKey(machine.name());
       if (type != null
           && booting
-          && boots(machine, type) > Constants.BOOT_LATE
+          && boots(machine, type) > Constants.BOOT_LATE_FACTOR
           && !overtaken(machine)) {
         late.merge(machine.type(), 1, Integer::sum);
       }
@@ -54,14 +54,15 @@
 
   Expectation of(Cloud.Listed machine, MachineType type) {
     double boots = boots(machine, type);
-    if (boots <= Constants.BOOT_LATE) {
+    if (boots <= Constants.BOOT_LATE_FACTOR) {
       return Expectation.AWAITED;
     }
     if (overtaken(machine)) {
-      return boots > Constants.BOOT_GIVE_UP ? Expectation.GIVEN_UP : Expectation.REPLACED;
+      return boots > Constants.BOOT_GIVE_UP_FACTOR ? Expectation.GIVEN_UP : Expectation.REPLACED;
     }
-    boolean cloudIsSlow = late.getOrDefault(machine.type(), 0) >= Constants.BOOT_LATE_MANY;
-    double most = cloudIsSlow ? Constants.BOOT_GIVE_UP_SLOW : Constants.BOOT_GIVE_UP;
+    boolean cloudIsSlow = late.getOrDefault(machine.type(), 0) >= Constants.SLOW_CLOUD_LATE_BOOTS;
+    double most =
+        cloudIsSlow ? Constants.BOOT_GIVE_UP_SLOW_CLOUD_FACTOR : Constants.BOOT_GIVE_UP_FACTOR;
     return boots > most ? Expectation.GIVEN_UP : Expectation.AWAITED;
   }
 
--- a/src/main/java/org/baygw/control/fleet/CloudInventory.java
+++ b/src/main/java/org/baygw/control/fleet/CloudInventory.java
@@ -76,7 +76,7 @@
 
   private void listRead(List<Cloud.Listed> list) {
     listing = false;
-    nextList = clock.now() + Constants.LIST_MS;
+    nextList = clock.now() + Constants.CLOUD_LIST_INTERVAL_MS;
     if (list != null) {
       listedAt = clock.now();
       listed = new LinkedHashMap<>();
@@ -87,7 +87,8 @@
   private void typesRead(List<MachineType> types) {
     typing = false;
     boolean read = types != null && !types.isEmpty();
-    nextTypes = clock.now() + (read ? Constants.TYPES_MS : Constants.CLOUD_RETRY_MS);
+    nextTypes =
+        clock.now() + (read ? Constants.MACHINE_TYPES_INTERVAL_MS : Constants.CLOUD_RETRY_MS);
     if (read && !types.equals(view.types) && membership.leadership() != 0) {
       store.txn(
           Store.Urgency.SUBMIT,
--- a/src/main/java/org/baygw/control/fleet/Fleet.java
+++ b/src/main/java/org/baygw/control/fleet/Fleet.java
@@ -63,11 +63,11 @@
     long now = clock.now();
     boolean listed = inventory.listedAt() > 0;
     if (now >= nextPlan && listed && scheduler.unmetIsCurrent()) {
-      nextPlan = now + Constants.FLEET_PLAN_MS;
+      nextPlan = now + Constants.FLEET_INTERVAL_MS;
       planner.plan(scheduler.unmet());
     }
     if (now >= nextLook && !view.types.isEmpty()) {
-      nextLook = now + Constants.FLEET_PLAN_MS;
+      nextLook = now + Constants.FLEET_INTERVAL_MS;
       rentals.tick();
       if (listed) {
         spare.tick();
--- a/src/main/java/org/baygw/control/fleet/RentalPlanner.java
+++ b/src/main/java/org/baygw/control/fleet/RentalPlanner.java
@@ -122,7 +122,7 @@
               && spec.spot()
               && !spec.service()
               && type.spotPrice() < type.price()
-              && demand.waitedMs() < type.bootS() * 1000 * Constants.DEARER_BOOTS) {
+              && demand.waitedMs() < type.bootS() * 1000 * Constants.SPOT_WAIT_BOOTS) {
             continue;
           }
           double price = (spot ? type.spotPrice() : type.price()) / type.cpus();
--- a/src/main/java/org/baygw/control/fleet/Rentals.java
+++ b/src/main/java/org/baygw/control/fleet/Rentals.java
@@ -80,7 +80,7 @@
     this.view = view;
     this.cloud = cloud;
     this.inventory = inventory;
-    this.unlistedMs = (long) (settings.cloud().listLagS() * 1000 * Constants.LIST_LAGS);
+    this.unlistedMs = (long) (settings.cloud().listLagS() * 1000 * Constants.UNLISTED_LIST_LAGS);
   }
 
   /** Begins anew: this controller has become the leader under this claim. */
@@ -105,7 +105,7 @@
               kind ->
                   refused.putIfAbsent(
                       new MachineKind(kind.type(), kind.zone(), kind.spot()),
-                      clock.now() + Math.min(kind.forMs(), Constants.NO_CAPACITY_MS)));
+                      clock.now() + Math.min(kind.forMs(), Constants.NO_CAPACITY_BACKOFF_MS)));
     }
   }
 
@@ -239,8 +239,9 @@
   }
 
   private void refuse(MachineKind kind) {
-    refused.put(kind, clock.now() + Constants.NO_CAPACITY_MS);
-    replication.capacityRefused(kind.type(), kind.zone(), kind.spot(), Constants.NO_CAPACITY_MS);
+    refused.put(kind, clock.now() + Constants.NO_CAPACITY_BACKOFF_MS);
+    replication.capacityRefused(
+        kind.type(), kind.zone(), kind.spot(), Constants.NO_CAPACITY_BACKOFF_MS);
   }
 
   private void forget(String name, long stamp) {
--- a/src/main/java/org/baygw/control/fleet/Returns.java
+++ b/src/main/java/org/baygw/control/fleet/Returns.java
@@ -207,7 +207,7 @@
       return;
     }
     returning = true;
-    cloud.giveBack(
+    cloud.returnMachines(
         names,
         ok -> {
           if (!ok) {
--- a/src/main/java/org/baygw/control/fleet/SpareMachines.java
+++ b/src/main/java/org/baygw/control/fleet/SpareMachines.java
@@ -80,7 +80,8 @@
     Set<String> cut = new HashSet<>();
     silent.forEach(
         (zone, n) -> {
-          if (n > 2 && (n > all.get(zone) * Constants.SILENT_SHARE_MAX || membership.lost(zone))) {
+          if (n > 2
+              && (n > all.get(zone) * Constants.OUTAGE_SILENT_SHARE || membership.lost(zone))) {
             cut.add(zone);
             cutAt.put(zone, now);
           }
@@ -140,14 +141,14 @@
     if (!cut) {
       double reportMs = settings.workers().reportS() * 1000;
       return now - cutAt.getOrDefault(m.zone(), Long.MIN_VALUE / 2)
-              < reportMs * Constants.SILENT_AFTER_CUT
-          || silent < reportMs * Constants.SILENT_REPORTS;
+              < reportMs * Constants.SILENT_AFTER_OUTAGE_REPORTS
+          || silent < reportMs * Constants.SILENT_MIN_REPORTS;
     }
     long limit = Constants.SILENT_KEEP_MS;
     for (TaskId t : m.tasks().keySet()) {
       StateCache.Entry<Job> j = view.jobs.get(t.job());
       if (j != null && j.value().state() == Job.State.CANCELLED) {
-        limit = (long) (settings.workers().cancelS() * 1000 * Constants.CANCEL_SHARE);
+        limit = (long) (settings.workers().cancelS() * 1000 * Constants.SILENT_CANCEL_SHARE);
       }
     }
     return silent < limit;
--- a/src/main/java/org/baygw/control/workers/CancellationDeadline.java
+++ b/src/main/java/org/baygw/control/workers/CancellationDeadline.java
@@ -196,7 +196,7 @@
   private void giveBack(List<String> machines) {
     LOG.info("cancelled tasks are not proved gone: {} go back", machines);
     returning = true;
-    cloud.giveBack(
+    cloud.returnMachines(
         machines,
         ok -> {
           returning = false;
