--- a/src/main/java/org/baygw/control/cloud/Cloud.java
+++ b/src/main/java/org/baygw/control/cloud/Cloud.java
@@ -20,11 +20,11 @@
 /** Client of the cloud. Calls wait for tokens: returns first, then rentals, then readings. */
 public final class Cloud {
   /** A machine as the cloud lists it, a while ago. */
-  public record Listed(
+  public record ListedMachine(
       String name, String type, String zone, boolean spot, String status, double ageS) {}
 
   /** Answer to a rental. */
-  public enum Rented {
+  public enum RentOutcome {
     OK,
     NO_CAPACITY,
     /** Not carried out, or not known to be. */
@@ -33,65 +33,68 @@
 
   /** Gets the answer to a rental. */
   public interface RentCallback {
-    void done(Rented outcome, List<String> hosts);
+    void done(RentOutcome outcome, List<String> hosts);
   }
 
-  private record Waiting(String method, String path, byte[] body, Outbox.Callback then) {}
+  private record QueuedRequest(String method, String path, byte[] body, Outbox.Callback callback) {}
 
   private static final int RETURN = 0;
   private static final int RENT = 1;
   private static final int READ = 2;
 
   private final Clock clock;
-  private final Outbox out;
+  private final Outbox outbox;
   private final String addr;
   private final TokenBucket bucket;
-  private final List<Deque<Waiting>> queues = new ArrayList<>();
+  private final List<Deque<QueuedRequest>> queues = new ArrayList<>();
 
-  public Cloud(Clock clock, Outbox out, Settings s) {
+  public Cloud(Clock clock, Outbox outbox, Settings settings) {
     this.clock = clock;
-    this.out = out;
-    this.addr = s.cloudAddr();
+    this.outbox = outbox;
+    this.addr = settings.cloudAddr();
     // Only the leader calls the cloud often; a little is left for a former leader's last calls, and
     // for
     // owners that return a machine with a cancelled task.
-    this.bucket = new TokenBucket(s.cloud().rps() * 0.9, s.cloud().rps());
+    this.bucket = new TokenBucket(settings.cloud().rps() * 0.9, settings.cloud().rps());
     for (int i = 0; i <= READ; i++) {
       queues.add(new ArrayDeque<>());
     }
   }
 
   public void tick() {
-    for (Deque<Waiting> q : queues) {
-      while (!q.isEmpty()) {
+    for (Deque<QueuedRequest> queue : queues) {
+      while (!queue.isEmpty()) {
         if (!bucket.take(clock.now(), 1)) {
           return;
         }
-        Waiting w = q.poll();
-        out.call(
+        QueuedRequest request = queue.poll();
+        outbox.call(
             addr,
-            w.method,
-            w.path,
-            w.body,
+            request.method,
+            request.path,
+            request.body,
             Constants.CLOUD_TIMEOUT_MS,
             (status, body) -> {
               if (status == 429) {
                 bucket.rest(clock.now(), Constants.CLOUD_RETRY_MS);
               }
-              w.then.done(status, body);
+              request.callback.done(status, body);
             });
       }
     }
   }
 
-  private void request(int queue, String method, String path, JsonNode body, Outbox.Callback then) {
-    queues.get(queue).add(new Waiting(method, path, body == null ? null : Json.bytes(body), then));
+  private void enqueue(
+      int queue, String method, String path, JsonNode body, Outbox.Callback callback) {
+    queues
+        .get(queue)
+        .add(new QueuedRequest(method, path, body == null ? null : Json.bytes(body), callback));
     tick();
   }
 
   /** Reads the types; null where they could not be had. */
-  public void types(Consumer<List<MachineType>> then) {
-    request(
+  public void types(Consumer<List<MachineType>> callback) {
+    enqueue(
         READ,
         "GET",
         "/machine_types",
@@ -99,95 +102,102 @@
         (status, body) -> {
           JsonNode builds = status == 200 ? Json.parse(body).path("builds") : null;
           if (builds == null || !builds.isArray()) {
-            then.accept(null);
+            callback.accept(null);
             return;
           }
           List<MachineType> types = new ArrayList<>();
-          for (JsonNode b : builds) {
+          for (JsonNode build : builds) {
             List<String> zones = new ArrayList<>();
-            b.path("yards").forEach(z -> zones.add(z.asText()));
+            build.path("yards").forEach(z -> zones.add(z.asText()));
             types.add(
                 new MachineType(
-                    b.path("name").asText(),
-                    b.path("cores").asDouble(),
-                    b.path("accelerators").asDouble(),
-                    b.path("memoryGb").asDouble(),
-                    b.path("localGb").asDouble(),
-                    b.path("pullGbPerS").asDouble(),
-                    b.path("price").asDouble(),
-                    b.path("spotPrice").asDouble(),
-                    b.path("readyS").asDouble(),
+                    build.path("name").asText(),
+                    build.path("cores").asDouble(),
+                    build.path("accelerators").asDouble(),
+                    build.path("memoryGb").asDouble(),
+                    build.path("localGb").asDouble(),
+                    build.path("pullGbPerS").asDouble(),
+                    build.path("price").asDouble(),
+                    build.path("spotPrice").asDouble(),
+                    build.path("readyS").asDouble(),
                     List.copyOf(zones)));
           }
-          then.accept(types);
+          callback.accept(types);
         });
   }
 
   /** Reads the whole list; null where it could not be had. */
-  public void list(Consumer<List<Listed>> then) {
-    page("", new ArrayList<>(), then);
+  public void list(Consumer<List<ListedMachine>> callback) {
+    listPage("", new ArrayList<>(), callback);
   }
 
-  private void page(String after, List<Listed> sofar, Consumer<List<Listed>> then) {
-    request(
+  private void listPage(
+      String after, List<ListedMachine> collected, Consumer<List<ListedMachine>> callback) {
+    enqueue(
         READ,
         "GET",
         "/machines?page=500" + (after.isEmpty() ? "" : "&after=" + after),
         null,
         (status, body) -> {
-          JsonNode n = Json.parse(body);
-          if (status != 200 || !n.path("hosts").isArray()) {
-            then.accept(null);
+          JsonNode response = Json.parse(body);
+          if (status != 200 || !response.path("hosts").isArray()) {
+            callback.accept(null);
             return;
           }
           String last = after;
-          for (JsonNode h : n.path("hosts")) {
-            last = h.path("id").asText();
-            sofar.add(
-                new Listed(
+          for (JsonNode host : response.path("hosts")) {
+            last = host.path("id").asText();
+            collected.add(
+                new ListedMachine(
                     last,
-                    h.path("build").asText(),
-                    h.path("yard").asText(),
-                    h.path("loaners").asBoolean(),
-                    h.path("status").asText(),
-                    h.path("heldS").asDouble()));
+                    host.path("build").asText(),
+                    host.path("yard").asText(),
+                    host.path("loaners").asBoolean(),
+                    host.path("status").asText(),
+                    host.path("heldS").asDouble()));
           }
-          if (n.path("more").asBoolean() && !last.equals(after)) {
-            page(last, sofar, then);
+          if (response.path("more").asBoolean() && !last.equals(after)) {
+            listPage(last, collected, callback);
           } else {
-            then.accept(sofar);
+            callback.accept(collected);
           }
         });
   }
 
   public void rent(
-      String booking, String type, String zone, boolean spot, int count, RentCallback then) {
-    ObjectNode n = Json.object().put("booking", booking).put("build", type).put("yard", zone);
-    n.put("loaners", spot).put("count", count);
-    request(
+      String booking, String type, String zone, boolean spot, int count, RentCallback callback) {
+    ObjectNode requestBody =
+        Json.object().put("booking", booking).put("build", type).put("yard", zone);
+    requestBody.put("loaners", spot).put("count", count);
+    enqueue(
         RENT,
         "POST",
         "/machines",
-        n,
+        requestBody,
         (status, body) -> {
-          JsonNode a = Json.parse(body);
+          JsonNode response = Json.parse(body);
           List<String> hosts = new ArrayList<>();
           if (status == 200) {
-            a.path("hosts").forEach(h -> hosts.add(h.asText()));
-            then.done(Rented.OK, hosts);
-          } else if (status == 503 && a.path("error").asText().equals("no capacity")) {
-            then.done(Rented.NO_CAPACITY, hosts);
+            response.path("hosts").forEach(h -> hosts.add(h.asText()));
+            callback.done(RentOutcome.OK, hosts);
+          } else if (status == 503 && response.path("error").asText().equals("no capacity")) {
+            callback.done(RentOutcome.NO_CAPACITY, hosts);
           } else {
-            then.done(Rented.FAILED, hosts);
+            callback.done(RentOutcome.FAILED, hosts);
           }
         });
   }
 
   /** Gives machines back; true once they and all that was on them are gone. */
-  public void returnMachines(Collection<String> names, Consumer<Boolean> then) {
-    ObjectNode n = Json.object();
-    ArrayNode a = n.putArray("hosts");
-    names.forEach(a::add);
-    request(RETURN, "POST", "/machines/return", n, (status, body) -> then.accept(status == 200));
+  public void returnMachines(Collection<String> names, Consumer<Boolean> callback) {
+    ObjectNode requestBody = Json.object();
+    ArrayNode hosts = requestBody.putArray("hosts");
+    names.forEach(hosts::add);
+    enqueue(
+        RETURN,
+        "POST",
+        "/machines/return",
+        requestBody,
+        (status, body) -> callback.accept(status == 200));
   }
 }
--- a/src/main/java/org/baygw/control/fleet/BootProgress.java
+++ b/src/main/java/org/baygw/control/fleet/BootProgress.java
@@ -27,52 +27,55 @@
   private final CloudInventory inventory;
 
   /** By type, the least age of a machine that is up. */
-  private final Map<String, Double> youngestUpS = new HashMap<>();
+  private final Map<String, Double> youngestUpAgeS = new HashMap<>();
 
   /** By type, how many late machines were not overtaken. */
-  private final Map<String, Integer> late = new HashMap<>();
+  private final Map<String, Integer> lateCounts = new HashMap<>();
 
   BootProgress(StateCache view, CloudInventory inventory) {
     this.inventory = inventory;
-    for (Cloud.Listed machine : inventory.machines()) {
+    for (Cloud.ListedMachine machine : inventory.machines()) {
       if (machine.status().equals("running") || view.machines.containsKey(machine.name())) {
-        youngestUpS.merge(machine.type(), inventory.ageS(machine), Math::min);
+        youngestUpAgeS.merge(machine.type(), inventory.ageS(machine), Math::min);
       }
     }
-    for (Cloud.Listed machine : inventory.machines()) {
+    for (Cloud.ListedMachine machine : inventory.machines()) {
       MachineType type = view.type(machine.type());
       boolean booting =
           machine.status().equals("booting") && !view.machines.containsKey(machine.name());
       if (type != null
           && booting
-          && boots(machine, type) > Constants.BOOT_LATE_FACTOR
+          && ageInBootTimes(machine, type) > Constants.BOOT_LATE_FACTOR
           && !overtaken(machine)) {
-        late.merge(machine.type(), 1, Integer::sum);
+        lateCounts.merge(machine.type(), 1, Integer::sum);
       }
     }
   }
 
-  Expectation of(Cloud.Listed machine, MachineType type) {
-    double boots = boots(machine, type);
-    if (boots <= Constants.BOOT_LATE_FACTOR) {
+  Expectation expectationFor(Cloud.ListedMachine machine, MachineType type) {
+    double ageInBootTimes = ageInBootTimes(machine, type);
+    if (ageInBootTimes <= Constants.BOOT_LATE_FACTOR) {
       return Expectation.AWAITED;
     }
     if (overtaken(machine)) {
-      return boots > Constants.BOOT_GIVE_UP_FACTOR ? Expectation.GIVEN_UP : Expectation.REPLACED;
+      return ageInBootTimes > Constants.BOOT_GIVE_UP_FACTOR
+          ? Expectation.GIVEN_UP
+          : Expectation.REPLACED;
     }
-    boolean cloudIsSlow = late.getOrDefault(machine.type(), 0) >= Constants.SLOW_CLOUD_LATE_BOOTS;
-    double most =
+    boolean cloudIsSlow =
+        lateCounts.getOrDefault(machine.type(), 0) >= Constants.SLOW_CLOUD_LATE_BOOTS;
+    double giveUpAfter =
         cloudIsSlow ? Constants.BOOT_GIVE_UP_SLOW_CLOUD_FACTOR : Constants.BOOT_GIVE_UP_FACTOR;
-    return boots > most ? Expectation.GIVEN_UP : Expectation.AWAITED;
+    return ageInBootTimes > giveUpAfter ? Expectation.GIVEN_UP : Expectation.AWAITED;
   }
 
   /** The machine's age, in boot times of its type. */
-  private double boots(Cloud.Listed machine, MachineType type) {
+  private double ageInBootTimes(Cloud.ListedMachine machine, MachineType type) {
     return inventory.ageS(machine) / type.bootS();
   }
 
-  private boolean overtaken(Cloud.Listed machine) {
-    return youngestUpS.getOrDefault(machine.type(), Double.POSITIVE_INFINITY)
+  private boolean overtaken(Cloud.ListedMachine machine) {
+    return youngestUpAgeS.getOrDefault(machine.type(), Double.POSITIVE_INFINITY)
         < inventory.ageS(machine);
   }
 }
--- a/src/main/java/org/baygw/control/fleet/CloudInventory.java
+++ b/src/main/java/org/baygw/control/fleet/CloudInventory.java
@@ -22,11 +22,11 @@
   private final StateCache view;
   private final Membership membership;
   private final Cloud cloud;
-  private Map<String, Cloud.Listed> listed = new LinkedHashMap<>();
+  private Map<String, Cloud.ListedMachine> listed = new LinkedHashMap<>();
   private long listedAt;
-  private boolean listing;
+  private boolean listPending;
   private long nextList;
-  private boolean typing;
+  private boolean typesPending;
   private long nextTypes;
 
   CloudInventory(Clock clock, Store store, StateCache view, Membership membership, Cloud cloud) {
@@ -46,13 +46,13 @@
   }
 
   void tick() {
-    if (!typing && clock.now() >= nextTypes) {
-      typing = true;
-      cloud.types(this::typesRead);
+    if (!typesPending && clock.now() >= nextTypes) {
+      typesPending = true;
+      cloud.types(this::handleTypes);
     }
-    if (!listing && clock.now() >= nextList) {
-      listing = true;
-      cloud.list(this::listRead);
+    if (!listPending && clock.now() >= nextList) {
+      listPending = true;
+      cloud.list(this::handleList);
     }
   }
 
@@ -65,17 +65,17 @@
     return listed.containsKey(machine);
   }
 
-  Collection<Cloud.Listed> machines() {
+  Collection<Cloud.ListedMachine> machines() {
     return listed.values();
   }
 
   /** Seconds since a listed machine was asked for. */
-  double ageS(Cloud.Listed machine) {
+  double ageS(Cloud.ListedMachine machine) {
     return machine.ageS() + (clock.now() - listedAt) / 1000.0;
   }
 
-  private void listRead(List<Cloud.Listed> list) {
-    listing = false;
+  private void handleList(List<Cloud.ListedMachine> list) {
+    listPending = false;
     nextList = clock.now() + Constants.CLOUD_LIST_INTERVAL_MS;
     if (list != null) {
       listedAt = clock.now();
@@ -84,12 +84,12 @@
     }
   }
 
-  private void typesRead(List<MachineType> types) {
-    typing = false;
-    boolean read = types != null && !types.isEmpty();
+  private void handleTypes(List<MachineType> types) {
+    typesPending = false;
+    boolean valid = types != null && !types.isEmpty();
     nextTypes =
-        clock.now() + (read ? Constants.MACHINE_TYPES_INTERVAL_MS : Constants.CLOUD_RETRY_MS);
-    if (read && !types.equals(view.types) && membership.leadership() != 0) {
+        clock.now() + (valid ? Constants.MACHINE_TYPES_INTERVAL_MS : Constants.CLOUD_RETRY_MS);
+    if (valid && !types.equals(view.types) && membership.leadership() != 0) {
       store.txn(
           Store.Urgency.SUBMIT,
           new Txn()
--- a/src/main/java/org/baygw/control/fleet/Fleet.java
+++ b/src/main/java/org/baygw/control/fleet/Fleet.java
@@ -19,12 +19,12 @@
   private final Scheduler scheduler;
   private final CloudInventory inventory;
   private final Rentals rentals;
-  private final RentalPlanner planner;
-  private final SpareMachines spare;
+  private final RentalPlanner rentalPlanner;
+  private final ReturnPlanner returnPlanner;
   private final Returns returns;
   private long claim;
   private long nextPlan;
-  private long nextLook;
+  private long nextUpdate;
 
   public Fleet(
       Clock clock,
@@ -43,8 +43,8 @@
     this.inventory = new CloudInventory(clock, store, view, membership, cloud);
     this.rentals = new Rentals(clock, settings, store, view, cloud, inventory, replication);
     this.returns = new Returns(clock, settings, store, view, membership, cloud, inventory);
-    this.planner = new RentalPlanner(view, inventory, rentals, returns);
-    this.spare = new SpareMachines(clock, settings, view, membership, scheduler, returns);
+    this.rentalPlanner = new RentalPlanner(view, inventory, rentals, returns);
+    this.returnPlanner = new ReturnPlanner(clock, settings, view, membership, scheduler, returns);
   }
 
   /** Time has passed, or something has changed. */
@@ -56,7 +56,7 @@
       claim = membership.leadership();
       inventory.reset();
       rentals.reset(claim);
-      spare.reset();
+      returnPlanner.reset();
       returns.reset(claim);
     }
     inventory.tick();
@@ -64,13 +64,13 @@
     boolean listed = inventory.listedAt() > 0;
     if (now >= nextPlan && listed && scheduler.unmetIsCurrent()) {
       nextPlan = now + Constants.FLEET_INTERVAL_MS;
-      planner.plan(scheduler.unmet());
+      rentalPlanner.plan(scheduler.unmet());
     }
-    if (now >= nextLook && !view.types.isEmpty()) {
-      nextLook = now + Constants.FLEET_INTERVAL_MS;
+    if (now >= nextUpdate && !view.types.isEmpty()) {
+      nextUpdate = now + Constants.FLEET_INTERVAL_MS;
       rentals.tick();
       if (listed) {
-        spare.tick();
+        returnPlanner.tick();
       }
       returns.tick();
     }
--- a/src/main/java/org/baygw/control/fleet/MachineKind.java
+++ b/src/main/java/org/baygw/control/fleet/MachineKind.java
@@ -16,9 +16,9 @@
   }
 
   /** An empty machine of the kind, or null where its type is unknown. */
-  MachineCapacity room(StateCache view, String machine) {
-    MachineType known = view.type(type);
-    return known == null ? null : MachineCapacity.empty(machine, known, zone, spot);
+  MachineCapacity emptyCapacity(StateCache view, String machine) {
+    MachineType machineType = view.type(type);
+    return machineType == null ? null : MachineCapacity.empty(machine, machineType, zone, spot);
   }
 
   @Override
--- a/src/main/java/org/baygw/control/fleet/RentalPlanner.java
+++ b/src/main/java/org/baygw/control/fleet/RentalPlanner.java
@@ -29,39 +29,40 @@
   /** Books what is missing, and gives up machines that failed or do not come up. */
   void plan(List<UnmetDemand> unmet) {
     rentals.expire();
-    List<MachineCapacity> rooms = booting();
-    rooms.addAll(rentals.coming());
-    Map<MachineKind, Integer> wanted = new LinkedHashMap<>();
+    List<MachineCapacity> capacities = bootingMachines();
+    capacities.addAll(rentals.unlistedMachines());
+    Map<MachineKind, Integer> toRent = new LinkedHashMap<>();
     for (UnmetDemand demand : unmet) {
-      int left = demand.count();
-      for (MachineCapacity room : rooms) {
-        if (left > 0 && (demand.zone() == null || demand.zone().equals(room.machine().zone()))) {
-          left = room.fill(demand.spec(), left);
+      int remaining = demand.count();
+      for (MachineCapacity capacity : capacities) {
+        if (remaining > 0
+            && (demand.zone() == null || demand.zone().equals(capacity.machine().zone()))) {
+          remaining = capacity.fill(demand.spec(), remaining);
         }
       }
-      want(demand, left, rooms, wanted);
+      addMachines(demand, remaining, capacities, toRent);
     }
-    wanted.forEach(rentals::book);
+    toRent.forEach(rentals::book);
   }
 
   /** Adds machines for so many tasks to what is wanted, as far as there is a kind for them. */
-  private void want(
+  private void addMachines(
       UnmetDemand demand,
       int tasks,
-      List<MachineCapacity> rooms,
-      Map<MachineKind, Integer> wanted) {
-    int left = tasks;
-    while (left > 0) {
-      MachineKind kind = choose(demand, wanted);
-      if (kind == null || wanted.getOrDefault(kind, 0) >= Constants.MAX_RENT) {
+      List<MachineCapacity> capacities,
+      Map<MachineKind, Integer> toRent) {
+    int remaining = tasks;
+    while (remaining > 0) {
+      MachineKind kind = chooseKind(demand, toRent);
+      if (kind == null || toRent.getOrDefault(kind, 0) >= Constants.MAX_RENT) {
         return;
       }
-      wanted.merge(kind, 1, Integer::sum);
-      MachineCapacity room = kind.room(view, "");
-      int before = left;
-      left = room.fill(demand.spec(), left);
-      rooms.add(room);
-      if (left == before) {
+      toRent.merge(kind, 1, Integer::sum);
+      MachineCapacity capacity = kind.emptyCapacity(view, "");
+      int before = remaining;
+      remaining = capacity.fill(demand.spec(), remaining);
+      capacities.add(capacity);
+      if (remaining == before) {
         return;
       }
     }
@@ -70,21 +71,21 @@
   /**
    * Empty machines that the cloud lists, that have not reported yet, and that are still awaited.
    */
-  private List<MachineCapacity> booting() {
-    List<MachineCapacity> rooms = new ArrayList<>();
+  private List<MachineCapacity> bootingMachines() {
+    List<MachineCapacity> capacities = new ArrayList<>();
     BootProgress progress = new BootProgress(view, inventory);
-    for (Cloud.Listed machine : inventory.machines()) {
-      if (returns.returned(machine.name()) || returns.leaving(machine.name())) {
+    for (Cloud.ListedMachine machine : inventory.machines()) {
+      if (returns.returned(machine.name()) || returns.isDraining(machine.name())) {
         continue; // the list lags: the cloud may have taken it back
       }
       MachineType type = view.type(machine.type());
-      boolean up = view.machines.containsKey(machine.name());
+      boolean reported = view.machines.containsKey(machine.name());
       if (machine.status().equals("failed")) {
         returns.drain(machine.name(), machine.zone(), StateCache.Drain.GIVEN_UP);
-      } else if (type != null && !up) {
-        switch (progress.of(machine, type)) {
+      } else if (type != null && !reported) {
+        switch (progress.expectationFor(machine, type)) {
           case AWAITED ->
-              rooms.add(
+              capacities.add(
                   MachineCapacity.empty(machine.name(), type, machine.zone(), machine.spot()));
           case REPLACED -> {
             // It may still come; until then others do its work.
@@ -93,11 +94,11 @@
         }
       }
     }
-    return rooms;
+    return capacities;
   }
 
   /** The cheapest kind that is allowed and not refused just now, spread over the zones. */
-  private MachineKind choose(UnmetDemand demand, Map<MachineKind, Integer> wanted) {
+  private MachineKind chooseKind(UnmetDemand demand, Map<MachineKind, Integer> toRent) {
     JobSpec spec = demand.spec();
     MachineKind best = null;
     double bestPrice = 0;
@@ -126,7 +127,7 @@
             continue;
           }
           double price = (spot ? type.spotPrice() : type.price()) / type.cpus();
-          int count = wanted.getOrDefault(kind, 0);
+          int count = toRent.getOrDefault(kind, 0);
           if (best == null
               || price < bestPrice - Constants.EPS
               || price < bestPrice + Constants.EPS && count < bestCount) {
--- a/src/main/java/org/baygw/control/fleet/Rentals.java
+++ b/src/main/java/org/baygw/control/fleet/Rentals.java
@@ -30,10 +30,10 @@
   private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
 
   /** A machine the cloud said it rented, until it is listed or reports. */
-  private record Expected(MachineKind kind, long since) {}
+  private record ExpectedMachine(MachineKind kind, long rentedAt) {}
 
   /** The machines that a booking got, and when the cloud said so. */
-  private record Answer(List<String> machines, long at) {}
+  private record Answer(List<String> machines, long answeredAt) {}
 
   private final Clock clock;
   private final Store store;
@@ -43,10 +43,10 @@
   private final Replication replication;
 
   /** For how long a machine that was rented may be missing from the list. */
-  private final long unlistedMs;
+  private final long maxUnlistedMs;
 
   private long claim;
-  private int bookings;
+  private int bookingCount;
 
   /** Bookings about which something is being written or asked, or is not to be asked yet. */
   private final Set<String> busy = new HashSet<>();
@@ -61,10 +61,10 @@
   private final Map<String, Rental> unwritten = new LinkedHashMap<>();
 
   private final Map<String, Answer> answered = new HashMap<>();
-  private final Map<String, Expected> expected = new HashMap<>();
+  private final Map<String, ExpectedMachine> expected = new HashMap<>();
 
   /** Kinds that the cloud has no more of, and until when they are not asked for. */
-  private final Map<MachineKind, Long> refused = new HashMap<>();
+  private final Map<MachineKind, Long> refusedUntil = new HashMap<>();
 
   Rentals(
       Clock clock,
@@ -80,72 +80,72 @@
     this.view = view;
     this.cloud = cloud;
     this.inventory = inventory;
-    this.unlistedMs = (long) (settings.cloud().listLagS() * 1000 * Constants.UNLISTED_LIST_LAGS);
+    this.maxUnlistedMs = (long) (settings.cloud().listLagS() * 1000 * Constants.UNLISTED_LIST_LAGS);
   }
 
   /** Begins anew: this controller has become the leader under this claim. */
   void reset(long newClaim) {
     claim = newClaim;
-    bookings = 0;
+    bookingCount = 0;
     busy.clear();
     retryAt.clear();
     unwritten.clear();
     answered.clear();
     expected.clear();
-    inherit();
+    inheritRefusals();
   }
 
   /** Takes over what the former leader knew of the cloud's capacity. */
-  private void inherit() {
-    Replication.InheritedQueue known = replication.inheritedQueue();
-    if (known != null) {
-      known
+  private void inheritRefusals() {
+    Replication.InheritedQueue inherited = replication.inheritedQueue();
+    if (inherited != null) {
+      inherited
           .refused()
           .forEach(
               kind ->
-                  refused.putIfAbsent(
+                  refusedUntil.putIfAbsent(
                       new MachineKind(kind.type(), kind.zone(), kind.spot()),
                       clock.now() + Math.min(kind.forMs(), Constants.NO_CAPACITY_BACKOFF_MS)));
     }
   }
 
   boolean refused(MachineKind kind) {
-    return refused.containsKey(kind);
+    return refusedUntil.containsKey(kind);
   }
 
   /** Empty machines that are rented or are being rented, as far as the cloud does not list them. */
-  List<MachineCapacity> coming() {
-    List<MachineCapacity> rooms = new ArrayList<>();
-    expected.forEach((name, machine) -> addRoom(rooms, machine.kind(), name));
+  List<MachineCapacity> unlistedMachines() {
+    List<MachineCapacity> capacities = new ArrayList<>();
+    expected.forEach((name, machine) -> addCapacity(capacities, machine.kind(), name));
     Map<String, Rental> unanswered = new LinkedHashMap<>(unwritten);
     view.rentals.forEach((name, rental) -> unanswered.put(name, rental.value()));
     unanswered.keySet().removeAll(answered.keySet());
     for (Rental rental : unanswered.values()) {
       for (int i = 0; i < rental.count(); i++) {
-        addRoom(rooms, MachineKind.of(rental), "");
+        addCapacity(capacities, MachineKind.of(rental), "");
       }
     }
-    return rooms;
+    return capacities;
   }
 
-  private void addRoom(List<MachineCapacity> rooms, MachineKind kind, String machine) {
-    MachineCapacity room = kind.room(view, machine);
-    if (room != null) {
-      rooms.add(room);
+  private void addCapacity(List<MachineCapacity> capacities, MachineKind kind, String machine) {
+    MachineCapacity capacity = kind.emptyCapacity(view, machine);
+    if (capacity != null) {
+      capacities.add(capacity);
     }
   }
 
   /** Drops what is known by now, and what is not to be waited for any more. */
   void expire() {
     long now = clock.now();
-    refused.values().removeIf(until -> now >= until);
+    refusedUntil.values().removeIf(until -> now >= until);
     expected
         .entrySet()
         .removeIf(
             entry ->
                 inventory.lists(entry.getKey())
                     || view.machines.containsKey(entry.getKey())
-                    || now - entry.getValue().since() > unlistedMs);
+                    || now - entry.getValue().rentedAt() > maxUnlistedMs);
     for (String booking : List.copyOf(retryAt.keySet())) {
       if (now >= retryAt.get(booking)) {
         retryAt.remove(booking);
@@ -162,27 +162,27 @@
     for (Map.Entry<String, StateCache.Entry<Rental>> entry : view.rentals.entrySet()) {
       String name = entry.getKey();
       if (answered.containsKey(name)) {
-        forgetWhenKnown(name, entry.getValue().stamp());
+        deleteRecordWhenKnown(name, entry.getValue().stamp());
       } else if (!busy.contains(name)) {
         send(name, entry.getValue());
       }
     }
   }
 
-  private void forgetWhenKnown(String name, long stamp) {
+  private void deleteRecordWhenKnown(String name, long stamp) {
     Answer answer = answered.get(name);
     boolean known =
         answer.machines().stream()
             .allMatch(m -> !expected.containsKey(m) || view.machines.containsKey(m));
-    if (known || clock.now() - answer.at() > unlistedMs) {
-      forget(name, stamp);
+    if (known || clock.now() - answer.answeredAt() > maxUnlistedMs) {
+      deleteRecord(name, stamp);
     }
   }
 
   /** Books machines of a kind. */
   void book(MachineKind kind, int count) {
     // Claim stamps never come again, so neither does a booking's name.
-    String name = "w" + claim + "-" + ++bookings;
+    String name = "w" + claim + "-" + ++bookingCount;
     Rental rental = new Rental(kind.type(), kind.zone(), kind.spot(), count);
     busy.add(name);
     unwritten.put(name, rental);
@@ -210,10 +210,10 @@
         rental.count(),
         (outcome, machines) -> {
           switch (outcome) {
-            case OK -> rented(name, rental, machines);
+            case OK -> recordRented(name, rental, machines);
             case NO_CAPACITY -> {
-              refuse(MachineKind.of(rental));
-              forget(name, entry.stamp());
+              markRefused(MachineKind.of(rental));
+              deleteRecord(name, entry.stamp());
               LOG.info("{}: no capacity for {}", name, MachineKind.of(rental));
             }
             // It may have been carried out: the same name is sent again, never another for it.
@@ -222,29 +222,29 @@
         });
   }
 
-  private void rented(String name, Rental rental, List<String> machines) {
+  private void recordRented(String name, Rental rental, List<String> machines) {
     long now = clock.now();
     MachineKind kind = MachineKind.of(rental);
     busy.remove(name);
     answered.put(name, new Answer(machines, now));
     for (String machine : machines) {
       if (!inventory.lists(machine) && !view.machines.containsKey(machine)) {
-        expected.put(machine, new Expected(kind, now));
+        expected.put(machine, new ExpectedMachine(kind, now));
       }
     }
     if (machines.size() < rental.count()) {
-      refuse(kind);
+      markRefused(kind);
     }
     LOG.info("{}: rented {} of {} {}", name, machines.size(), rental.count(), kind);
   }
 
-  private void refuse(MachineKind kind) {
-    refused.put(kind, clock.now() + Constants.NO_CAPACITY_BACKOFF_MS);
+  private void markRefused(MachineKind kind) {
+    refusedUntil.put(kind, clock.now() + Constants.NO_CAPACITY_BACKOFF_MS);
     replication.capacityRefused(
         kind.type(), kind.zone(), kind.spot(), Constants.NO_CAPACITY_BACKOFF_MS);
   }
 
-  private void forget(String name, long stamp) {
+  private void deleteRecord(String name, long stamp) {
     busy.add(name);
     Answer answer = answered.remove(name);
     store.settle(
--- /dev/null
+++ b/src/main/java/org/baygw/control/fleet/ReturnPlanner.java
@@ -0,0 +1,173 @@
+package org.baygw.control.fleet;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.baygw.control.Constants;
+import org.baygw.control.config.Settings;
+import org.baygw.control.core.Clock;
+import org.baygw.control.membership.Membership;
+import org.baygw.control.model.Job;
+import org.baygw.control.model.Machine;
+import org.baygw.control.model.MachineType;
+import org.baygw.control.model.TaskId;
+import org.baygw.control.placement.MachineCapacity;
+import org.baygw.control.quota.Scheduler;
+import org.baygw.control.store.StateCache;
+
+/**
+ * Decides which machines go back: those that are silent or sick, those that stand empty for long,
+ * and those that are leaving and empty.
+ */
+final class ReturnPlanner {
+  private final Clock clock;
+  private final Settings settings;
+  private final StateCache view;
+  private final Membership membership;
+  private final Scheduler scheduler;
+  private final Returns returns;
+  private final Map<String, Long> emptySince = new HashMap<>();
+  private final Map<String, Long> silentSince = new HashMap<>();
+
+  /** When so many of a zone were silent last that it looked like a cut. */
+  private final Map<String, Long> zoneOutageAt = new HashMap<>();
+
+  ReturnPlanner(
+      Clock clock,
+      Settings settings,
+      StateCache view,
+      Membership membership,
+      Scheduler scheduler,
+      Returns returns) {
+    this.clock = clock;
+    this.settings = settings;
+    this.view = view;
+    this.membership = membership;
+    this.scheduler = scheduler;
+    this.returns = returns;
+  }
+
+  /** Begins anew: this controller has become the leader. */
+  void reset() {
+    emptySince.clear();
+    silentSince.clear();
+  }
+
+  /** Marks machines for return: those given up, and those empty for long. */
+  void tick() {
+    long now = clock.now();
+    emptySince.keySet().retainAll(view.machines.keySet());
+    silentSince
+        .keySet()
+        .removeIf(
+            name ->
+                !view.machines.containsKey(name)
+                    || view.machines.get(name).value().condition() != Machine.Condition.SILENT);
+    Map<String, Integer> machineCounts = new HashMap<>();
+    Map<String, Integer> silentCounts = new HashMap<>();
+    for (StateCache.Entry<Machine> entry : view.machines.values()) {
+      Machine machine = entry.value();
+      machineCounts.merge(machine.zone(), 1, Integer::sum);
+      if (machine.condition() == Machine.Condition.SILENT) {
+        silentSince.putIfAbsent(machine.name(), now);
+        silentCounts.merge(machine.zone(), 1, Integer::sum);
+      }
+    }
+    // A zone is cut off as a whole: what counts is its own share, and whether its controllers are
+    // lost.
+    Set<String> outageZones = new HashSet<>();
+    silentCounts.forEach(
+        (zone, n) -> {
+          if (n > 2
+              && (n > machineCounts.get(zone) * Constants.OUTAGE_SILENT_SHARE
+                  || membership.lost(zone))) {
+            outageZones.add(zone);
+            zoneOutageAt.put(zone, now);
+          }
+        });
+    for (StateCache.Entry<Machine> entry : List.copyOf(view.machines.values())) {
+      Machine machine = entry.value();
+      if (returns.isDraining(machine.name())) {
+        continue;
+      }
+      // A sick machine fails what it starts, not what already runs: replicas there are not ended.
+      if (machine.condition() == Machine.Condition.SICK && !hasReplica(machine)
+          || machine.condition() == Machine.Condition.SILENT
+              && !keepSilent(machine, now, outageZones.contains(machine.zone()))) {
+        returns.drain(machine.name(), machine.zone(), StateCache.Drain.GIVEN_UP);
+        continue;
+      }
+      if (machine.condition() == Machine.Condition.SILENT
+          || machine.condition() == Machine.Condition.SICK) {
+        continue;
+      }
+      if (!machine.tasks().isEmpty() || !view.unplaced(machine.part()).isEmpty()) {
+        emptySince.remove(machine.name());
+        continue;
+      }
+      long since = emptySince.computeIfAbsent(machine.name(), k -> now);
+      MachineType type = view.type(machine.type());
+      boolean leaving = machine.condition() != Machine.Condition.OK;
+      double keepMs = type == null || leaving ? 0 : type.bootS() * 1000 * Constants.IDLE_BOOTS;
+      if (machine.spot() && type != null && type.spotPrice() > 0) {
+        keepMs *= type.price() / type.spotPrice(); // the same cost buys a longer wait
+      }
+      if (now - since >= keepMs && (leaving || !hasDemand(machine))) {
+        returns.drain(machine.name(), machine.zone(), StateCache.Drain.IDLE);
+      }
+    }
+  }
+
+  /**
+   * Whether a task that found no room could run on the empty machine, which is then about to get
+   * it. One that suits none of them is not kept: it costs, and where the cloud has no more machines
+   * to give it stands in the way of those that are missing.
+   */
+  private boolean hasDemand(Machine machine) {
+    MachineType type = view.type(machine.type());
+    if (type == null) {
+      return false;
+    }
+    MachineCapacity empty =
+        MachineCapacity.empty(machine.name(), type, machine.zone(), machine.spot());
+    return scheduler.unmet().stream()
+        .anyMatch(
+            demand ->
+                (demand.zone() == null || demand.zone().equals(machine.zone()))
+                    && empty.fits(demand.spec()));
+  }
+
+  /**
+   * Whether a silent machine is kept for now. When many fall silent at once a cut is likelier than
+   * their deaths: returning them all would leave nothing to go on with when it ends.
+   */
+  private boolean keepSilent(Machine machine, long now, boolean zoneOutage) {
+    long silentMs = now - silentSince.get(machine.name());
+    if (!zoneOutage) {
+      double reportMs = settings.workers().reportS() * 1000;
+      return now - zoneOutageAt.getOrDefault(machine.zone(), Long.MIN_VALUE / 2)
+              < reportMs * Constants.SILENT_AFTER_OUTAGE_REPORTS
+          || silentMs < reportMs * Constants.SILENT_MIN_REPORTS;
+    }
+    long limitMs = Constants.SILENT_KEEP_MS;
+    for (TaskId task : machine.tasks().keySet()) {
+      StateCache.Entry<Job> job = view.jobs.get(task.job());
+      if (job != null && job.value().state() == Job.State.CANCELLED) {
+        limitMs = (long) (settings.workers().cancelS() * 1000 * Constants.SILENT_CANCEL_SHARE);
+      }
+    }
+    return silentMs < limitMs;
+  }
+
+  private boolean hasReplica(Machine machine) {
+    for (TaskId task : machine.tasks().keySet()) {
+      StateCache.Entry<Job> job = view.jobs.get(task.job());
+      if (job != null && job.value().open() && job.value().spec().service()) {
+        return true;
+      }
+    }
+    return false;
+  }
+}
--- a/src/main/java/org/baygw/control/fleet/Returns.java
+++ b/src/main/java/org/baygw/control/fleet/Returns.java
@@ -40,12 +40,12 @@
   private long prunedAt;
 
   /** Marks that are to be written or are being written. */
-  private final Set<String> draining = new HashSet<>();
+  private final Set<String> pendingDrains = new HashSet<>();
 
-  private final Map<Partition, Map<String, StateCache.Drain>> asked = new HashMap<>();
+  private final Map<Partition, Map<String, StateCache.Drain>> requestedDrains = new HashMap<>();
 
   /** Partitions whose list of leaving machines is being written. */
-  private final Set<Partition> busyLists = new HashSet<>();
+  private final Set<Partition> busyPartitions = new HashSet<>();
 
   /** Machines the cloud has taken back, until that is durable and they are off the list. */
   private final Set<String> gone = new HashSet<>();
@@ -54,9 +54,9 @@
   private final Set<String> returned = new HashSet<>();
 
   /** Machines that one partition's list of leaving machines has room for. */
-  private final int mostListed;
+  private final int maxDrainsPerPartition;
 
-  private boolean returning;
+  private boolean returnInFlight;
   private long nextReturn;
 
   Returns(
@@ -73,17 +73,18 @@
     this.membership = membership;
     this.cloud = cloud;
     this.inventory = inventory;
-    this.mostListed = (int) (settings.state().valueKb() * 1024 / Constants.DRAIN_ENTRY_BYTES);
+    this.maxDrainsPerPartition =
+        (int) (settings.state().valueKb() * 1024 / Constants.DRAIN_ENTRY_BYTES);
   }
 
   /** Begins anew: this controller has become the leader under this claim. */
   void reset(long newClaim) {
     claim = newClaim;
-    draining.clear();
-    asked.clear();
-    busyLists.clear();
+    pendingDrains.clear();
+    requestedDrains.clear();
+    busyPartitions.clear();
     gone.clear();
-    returning = false;
+    returnInFlight = false;
   }
 
   /** Whether the cloud has taken the machine back, though it may still list it. */
@@ -92,8 +93,8 @@
   }
 
   /** Whether the machine is marked for return, or is being marked. */
-  boolean leaving(String machine) {
-    return view.drains.containsKey(machine) || draining.contains(machine);
+  boolean isDraining(String machine) {
+    return view.drains.containsKey(machine) || pendingDrains.contains(machine);
   }
 
   private void pruneReturned() {
@@ -104,47 +105,49 @@
   }
 
   /** Marks a machine for return. */
-  void drain(String name, String zone, StateCache.Drain why) {
-    Partition part = Partition.of(name, zone, view.partitionsPerZone());
-    asked.computeIfAbsent(part, k -> new LinkedHashMap<>()).put(name, why);
-    draining.add(name);
-    LOG.debug("{} is to go: {}", name, why);
+  void drain(String name, String zone, StateCache.Drain reason) {
+    Partition partition = Partition.of(name, zone, view.partitionsPerZone());
+    requestedDrains.computeIfAbsent(partition, k -> new LinkedHashMap<>()).put(name, reason);
+    pendingDrains.add(name);
+    LOG.debug("{} is to go: {}", name, reason);
   }
 
   /**
    * Writes what was asked of one partition's list of leaving machines, in one change. A machine
    * stands there before it is returned, and until its own record is gone.
    */
-  private void list(Partition part) {
-    Map<String, StateCache.Drain> next = new LinkedHashMap<>(view.drains(part));
-    Map<String, StateCache.Drain> put = takeAsked(part, next.size());
-    put.forEach(next::putIfAbsent);
+  private void writeDrains(Partition partition) {
+    Map<String, StateCache.Drain> drains = new LinkedHashMap<>(view.drains(partition));
+    Map<String, StateCache.Drain> added = takeRequested(partition, drains.size());
+    added.forEach(drains::putIfAbsent);
     // That the cloud has taken a machine back is durable before anyone acts on it.
-    next.replaceAll((m, d) -> gone.contains(m) ? StateCache.Drain.GONE : d);
-    next.entrySet()
+    drains.replaceAll((m, d) -> gone.contains(m) ? StateCache.Drain.GONE : d);
+    drains
+        .entrySet()
         .removeIf(
             e ->
                 e.getValue() == StateCache.Drain.GONE && !view.machines.containsKey(e.getKey())
-                    || cameToUse(part, e.getKey(), e.getValue()));
-    Set<String> cordons = new HashSet<>(view.cordons);
-    cordons.removeIf(m -> next.containsKey(m) || !view.drains(part).containsKey(m));
-    if (next.equals(view.drains(part))) {
-      draining.removeAll(put.keySet());
+                    || receivedTask(partition, e.getKey(), e.getValue()));
+    Set<String> obsoleteCordons = new HashSet<>(view.cordons);
+    obsoleteCordons.removeIf(m -> drains.containsKey(m) || !view.drains(partition).containsKey(m));
+    if (drains.equals(view.drains(partition))) {
+      pendingDrains.removeAll(added.keySet());
       return;
     }
-    ObjectNode v = Json.object();
-    next.forEach((m, d) -> v.put(m, d.name()));
-    String key = Keys.drain(part);
-    Txn txn = new Txn().when(Keys.claim(Keys.LEADER), claim).when(key, view.stamp(key)).put(key, v);
-    cordons.forEach(m -> txn.delete(Keys.cordon(m)));
-    busyLists.add(part);
+    ObjectNode value = Json.object();
+    drains.forEach((m, d) -> value.put(m, d.name()));
+    String key = Keys.drain(partition);
+    Txn txn =
+        new Txn().when(Keys.claim(Keys.LEADER), claim).when(key, view.stamp(key)).put(key, value);
+    obsoleteCordons.forEach(m -> txn.delete(Keys.cordon(m)));
+    busyPartitions.add(partition);
     store.settle(
         Store.Urgency.CANCEL,
         txn,
         Constants.STATE_TIMEOUT_MS,
         ok -> {
-          busyLists.remove(part);
-          draining.removeAll(put.keySet());
+          busyPartitions.remove(partition);
+          pendingDrains.removeAll(added.keySet());
         });
   }
 
@@ -152,29 +155,29 @@
    * Takes as much of what was asked of a partition as its list, which is one value of the state
    * service, has room for; the rest follows when machines have come off it.
    */
-  private Map<String, StateCache.Drain> takeAsked(Partition part, int listed) {
-    Map<String, StateCache.Drain> waiting = asked.getOrDefault(part, Map.of());
+  private Map<String, StateCache.Drain> takeRequested(Partition partition, int listedCount) {
+    Map<String, StateCache.Drain> waiting = requestedDrains.getOrDefault(partition, Map.of());
     Map<String, StateCache.Drain> taken = new LinkedHashMap<>();
-    for (Iterator<Map.Entry<String, StateCache.Drain>> it = waiting.entrySet().iterator();
-        it.hasNext() && listed + taken.size() < mostListed; ) {
-      Map.Entry<String, StateCache.Drain> entry = it.next();
+    for (Iterator<Map.Entry<String, StateCache.Drain>> iterator = waiting.entrySet().iterator();
+        iterator.hasNext() && listedCount + taken.size() < maxDrainsPerPartition; ) {
+      Map.Entry<String, StateCache.Drain> entry = iterator.next();
       taken.put(entry.getKey(), entry.getValue());
-      it.remove();
+      iterator.remove();
     }
     return taken;
   }
 
   /** Whether a machine that was to go because it was idle got a task before that was durable. */
-  private boolean cameToUse(Partition part, String name, StateCache.Drain why) {
-    return why == StateCache.Drain.IDLE
-        && settled(part)
+  private boolean receivedTask(Partition partition, String name, StateCache.Drain reason) {
+    return reason == StateCache.Drain.IDLE
+        && viewIsCurrent(partition)
         && !gone.contains(name)
         && !view.on(name).isEmpty();
   }
 
   /** Whether the copy has all that was placed in the partition before its list last changed. */
-  private boolean settled(Partition part) {
-    return view.revision() >= view.stamp(Keys.drain(part));
+  private boolean viewIsCurrent(Partition partition) {
+    return view.revision() >= view.stamp(Keys.drain(partition));
   }
 
   /**
@@ -185,38 +188,38 @@
     pruneReturned();
     List<String> names = new ArrayList<>();
     gone.removeIf(m -> !view.drains.containsKey(m));
-    for (Partition part : membership.partitions()) {
-      if (busyLists.contains(part)) {
+    for (Partition partition : membership.partitions()) {
+      if (busyPartitions.contains(partition)) {
         continue;
       }
-      list(part);
-      if (busyLists.contains(part) || !settled(part)) {
+      writeDrains(partition);
+      if (busyPartitions.contains(partition) || !viewIsCurrent(partition)) {
         continue;
       }
-      view.drains(part)
+      view.drains(partition)
           .forEach(
-              (name, d) -> {
-                if (d != StateCache.Drain.GONE
+              (name, drain) -> {
+                if (drain != StateCache.Drain.GONE
                     && !gone.contains(name)
                     && names.size() < Constants.MAX_RETURN) {
                   names.add(name);
                 }
               });
     }
-    if (names.isEmpty() || returning || now < nextReturn) {
+    if (names.isEmpty() || returnInFlight || now < nextReturn) {
       return;
     }
-    returning = true;
+    returnInFlight = true;
     cloud.returnMachines(
         names,
         ok -> {
           if (!ok) {
-            returning = false;
+            returnInFlight = false;
             nextReturn = clock.now() + Constants.CLOUD_RETRY_MS;
             return;
           }
           LOG.info("returned {}", names);
-          returning = false;
+          returnInFlight = false;
           gone.addAll(names);
           returned.addAll(names);
         });
