--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -82,7 +82,7 @@
    */
   public static final int DELETES_PER_WRITE = 6;
 
-  /** Bytes that a machine takes of its partition's list of leaving machines, with some to spare. */
+  /** Bytes per machine in a partition's list of draining machines, with some margin. */
   public static final int DRAIN_ENTRY_BYTES = 40;
 
   /** Images remembered for a machine: about as many as its cache holds. */
@@ -350,23 +350,33 @@
    */
   public static final long STALL_MS = 400;
 
-  /** Share of a zone's machines silent at once that points at the network, not at them. */
+  /**
+   * Share of silent machines in a zone above which a network outage is assumed instead of machine
+   * failures.
+   */
   public static final double OUTAGE_SILENT_SHARE = 0.4;
 
-  /** Report periods a silent machine is kept in any case, to see whether others fall silent too. */
+  /**
+   * Report periods for which a silent machine is always kept, to see whether others fall silent
+   * too.
+   */
   public static final double SILENT_MIN_REPORTS = 0.5;
 
   /**
-   * Report periods for which machines silent at the end of such a cut are kept: they look for a
-   * node.
+   * Report periods for which machines still silent at the end of a zone outage are kept: they are
+   * looking for a controller to report to.
    */
   public static final double SILENT_AFTER_OUTAGE_REPORTS = 2;
 
-  /** ms for which so many silent machines are kept: a cut ends, and new machines take a boot. */
+  /**
+   * ms for which silent machines are kept during a zone outage: outages end, and replacements would
+   * have to boot first.
+   */
   public static final long SILENT_KEEP_MS = 60_000;
 
   /**
-   * Share of the time for a cancellation after which a silent machine with cancelled tasks goes.
+   * Share of the time for a cancellation after which a silent machine with cancelled tasks is
+   * returned even during a zone outage.
    */
   public static final double SILENT_CANCEL_SHARE = 0.4;
 
@@ -448,45 +458,48 @@
   /** ms. Longest wait of a job that keeps failing. */
   public static final long ERROR_BACKOFF_MAX_MS = 60_000;
 
-  /** Times the list's lag for which a machine that was rented may be missing from it. */
+  /** Multiple of the cloud list's lag for which a rented machine may be missing from the list. */
   public static final double UNLISTED_LIST_LAGS = 4;
 
-  /** ms between two looks at what is to be rented or returned: a boot takes seconds. */
+  /** ms between two checks of which machines to rent or return: a boot takes seconds. */
   public static final long FLEET_INTERVAL_MS = 250;
 
-  /** ms between listings of the cloud's machines. */
+  /** ms between two reads of the cloud's machine list. */
   public static final long CLOUD_LIST_INTERVAL_MS = 2_500;
 
-  /** ms between readings of the machine types, for spot prices. */
+  /** ms between two reads of the machine types, which carry the current spot prices. */
   public static final long MACHINE_TYPES_INTERVAL_MS = 60_000;
 
-  /** ms for a cloud call: they take 200 ms. */
+  /** Timeout of a cloud call in ms; calls take 200 ms. */
   public static final int CLOUD_TIMEOUT_MS = 4_000;
 
-  /** ms a cloud that failed or refused is left alone. */
+  /** ms before a retry after the cloud failed or refused a call. */
   public static final long CLOUD_RETRY_MS = 1_000;
 
-  /** ms a kind of machine is not asked for after "no capacity". */
+  /** ms for which a kind of machine is not requested again after the cloud had no capacity. */
   public static final long NO_CAPACITY_BACKOFF_MS = 8_000;
 
   /**
-   * Times the nominal boot time after which a machine is late: usually it takes 1.5 at the most.
+   * Multiple of the nominal boot time after which a booting machine is late: boots usually take at
+   * most 1.5.
    */
   public static final double BOOT_LATE_FACTOR = 1.6;
 
-  /** Late machines of a type, none overtaken by a newer one, that show that the cloud is slow. */
+  /**
+   * Late machines of a type, none overtaken by a newer one, at which the cloud is considered slow.
+   */
   public static final int SLOW_CLOUD_LATE_BOOTS = 4;
 
-  /** Times the nominal boot time after which a machine is given up where the cloud is slow. */
+  /** Multiple of the nominal boot time after which a machine is given up if the cloud is slow. */
   public static final double BOOT_GIVE_UP_SLOW_CLOUD_FACTOR = 8.0;
 
-  /** Times the nominal boot time after which a machine is given up. */
+  /** Multiple of the nominal boot time after which a machine is given up. */
   public static final double BOOT_GIVE_UP_FACTOR = 3.0;
 
-  /** Boot times an empty machine is kept: what it saves is the wait for another to boot. */
+  /** Boot times for which an empty machine is kept: that saves waiting for another to boot. */
   public static final double IDLE_BOOTS = 0.7;
 
-  /** Boot times that array work waits for spot machines before ordinary ones are rented for it. */
+  /** Boot times that array jobs wait for spot machines before ordinary ones are rented. */
   public static final double SPOT_WAIT_BOOTS = 0.4;
 
   /** Machines per rental request (protocol). */
