--- a/src/main/java/org/baygw/control/cloud/Cloud.java
+++ b/src/main/java/org/baygw/control/cloud/Cloud.java
@@ -17,22 +17,33 @@
 import org.baygw.control.core.TokenBucket;
 import org.baygw.control.model.MachineType;
 
-/** Client of the cloud. Calls wait for tokens: returns first, then rentals, then readings. */
+/**
+ * Client of the cloud's API. Calls are rate-limited and queued by priority: returns first, then
+ * rentals, then reads.
+ */
 public final class Cloud {
-  /** A machine as the cloud lists it, a while ago. */
+  /**
+   * A machine as it appears in the cloud's list, which lags.
+   *
+   * @param ageS seconds since the machine was requested
+   */
   public record ListedMachine(
       String name, String type, String zone, boolean spot, String status, double ageS) {}
 
-  /** Answer to a rental. */
+  /** Outcome of a rental request. */
   public enum RentOutcome {
     OK,
     NO_CAPACITY,
-    /** Not carried out, or not known to be. */
+    /** The rental was not carried out, or it is unknown whether it was. */
     FAILED
   }
 
-  /** Gets the answer to a rental. */
+  /** Receives the outcome of a rental request. */
   public interface RentCallback {
+    /**
+     * @param hosts names of the rented machines, possibly fewer than requested; empty unless the
+     *     outcome is OK
+     */
     void done(RentOutcome outcome, List<String> hosts);
   }
 
@@ -52,9 +63,8 @@
     this.clock = clock;
     this.outbox = outbox;
     this.addr = settings.cloudAddr();
-    // Only the leader calls the cloud often; a little is left for a former leader's last calls, and
-    // for
-    // owners that return a machine with a cancelled task.
+    // Only the leader calls the cloud often. A tenth of the rate is left for a former leader's last
+    // calls and for partition owners that return a machine with a cancelled task.
     this.bucket = new TokenBucket(settings.cloud().rps() * 0.9, settings.cloud().rps());
     for (int i = 0; i <= READ; i++) {
       queues.add(new ArrayDeque<>());
@@ -92,7 +102,7 @@
     tick();
   }
 
-  /** Reads the types; null where they could not be had. */
+  /** Reads the machine types; passes null to the callback if the call fails. */
   public void types(Consumer<List<MachineType>> callback) {
     enqueue(
         READ,
@@ -126,7 +136,7 @@
         });
   }
 
-  /** Reads the whole list; null where it could not be had. */
+  /** Reads all pages of the machine list; passes null to the callback if a call fails. */
   public void list(Consumer<List<ListedMachine>> callback) {
     listPage("", new ArrayList<>(), callback);
   }
@@ -164,6 +174,11 @@
         });
   }
 
+  /**
+   * Rents machines.
+   *
+   * @param booking idempotency key: repeating a request with the same booking rents nothing more
+   */
   public void rent(
       String booking, String type, String zone, boolean spot, int count, RentCallback callback) {
     ObjectNode requestBody =
@@ -188,7 +203,10 @@
         });
   }
 
-  /** Gives machines back; true once they and all that was on them are gone. */
+  /**
+   * Returns machines to the cloud; passes true to the callback once the machines and everything
+   * that ran on them are gone.
+   */
   public void returnMachines(Collection<String> names, Consumer<Boolean> callback) {
     ObjectNode requestBody = Json.object();
     ArrayNode hosts = requestBody.putArray("hosts");
