--- a/src/main/java/org/baygw/control/fleet/BootProgress.java
+++ b/src/main/java/org/baygw/control/fleet/BootProgress.java
@@ -8,28 +8,28 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * How long machines that boot are awaited. One that is overtaken by machines rented after it is
- * slow or broken, and others are rented for it. Where many are late and none overtook them the
- * cloud is slow: giving them up would only put others at the end of the same wait, and replacing
- * them would rent all that is needed a second time.
+ * Decides how long to wait for booting machines. A late machine that was overtaken by a machine
+ * rented after it is slow or broken, and is replaced. If many machines are late without being
+ * overtaken, the cloud is slow: giving them up would only restart the same wait for others, and
+ * replacing them would rent the whole demand a second time.
  */
 final class BootProgress {
-  /** What is expected of a machine that boots. */
+  /** How a booting machine is treated. */
   enum Expectation {
-    /** It counts as coming. */
+    /** Its capacity is counted on. */
     AWAITED,
-    /** It may come, but is not counted on. */
+    /** It may still come up, but its capacity is not counted on. */
     REPLACED,
-    /** It is to be returned. */
+    /** It is returned to the cloud. */
     GIVEN_UP
   }
 
   private final CloudInventory inventory;
 
-  /** By type, the least age of a machine that is up. */
+  /** Age in seconds of the youngest machine that is up, by machine type. */
   private final Map<String, Double> youngestUpAgeS = new HashMap<>();
 
-  /** By type, how many late machines were not overtaken. */
+  /** Number of late machines that were not overtaken, by machine type. */
   private final Map<String, Integer> lateCounts = new HashMap<>();
 
   BootProgress(StateCache view, CloudInventory inventory) {
@@ -69,7 +69,7 @@
     return ageInBootTimes > giveUpAfter ? Expectation.GIVEN_UP : Expectation.AWAITED;
   }
 
-  /** The machine's age, in boot times of its type. */
+  /** The machine's age as a multiple of its type's nominal boot time. */
   private double ageInBootTimes(Cloud.ListedMachine machine, MachineType type) {
     return inventory.ageS(machine) / type.bootS();
   }
