--- a/src/main/java/org/baygw/control/fleet/CloudInventory.java
+++ b/src/main/java/org/baygw/control/fleet/CloudInventory.java
@@ -15,7 +15,7 @@
 import org.baygw.control.store.Store;
 import org.baygw.control.store.Txn;
 
-/** What the cloud says there is: its machine types, and its list of machines, which lags. */
+/** Reads the cloud's machine types and its list of machines; the list lags behind. */
 final class CloudInventory {
   private final Clock clock;
   private final Store store;
@@ -37,7 +37,7 @@
     this.cloud = cloud;
   }
 
-  /** Begins anew: this controller has become the leader. */
+  /** Resets the state when this controller becomes the leader. */
   void reset() {
     listed = new LinkedHashMap<>();
     listedAt = 0;
@@ -56,7 +56,7 @@
     }
   }
 
-  /** When the list was last read; 0 if it was not. */
+  /** Local time in ms at which the list was last read; 0 if not read yet. */
   long listedAt() {
     return listedAt;
   }
@@ -69,7 +69,7 @@
     return listed.values();
   }
 
-  /** Seconds since a listed machine was asked for. */
+  /** Seconds since a listed machine was requested. */
   double ageS(Cloud.ListedMachine machine) {
     return machine.ageS() + (clock.now() - listedAt) / 1000.0;
   }
