--- a/src/main/java/org/baygw/control/fleet/Fleet.java
+++ b/src/main/java/org/baygw/control/fleet/Fleet.java
@@ -10,7 +10,7 @@
 import org.baygw.control.store.StateCache;
 import org.baygw.control.store.Store;
 
-/** Rents and returns machines, at the leader. */
+/** Rents and returns machines; active on the leader only. */
 public final class Fleet {
   private final Clock clock;
   private final Store store;
@@ -47,7 +47,7 @@
     this.returnPlanner = new ReturnPlanner(clock, settings, view, membership, scheduler, returns);
   }
 
-  /** Time has passed, or something has changed. */
+  /** Called periodically and after changes. */
   public void tick() {
     if (!store.loaded() || membership.leadership() == 0) {
       return;
