--- a/src/main/java/org/baygw/control/fleet/MachineKind.java
+++ b/src/main/java/org/baygw/control/fleet/MachineKind.java
@@ -6,7 +6,7 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * A kind of machine at one place, as it is rented.
+ * What a rental asks for: a machine type in a zone, spot or ordinary.
  *
  * @param type the machine type's name
  */
@@ -15,7 +15,7 @@
     return new MachineKind(rental.type(), rental.zone(), rental.spot());
   }
 
-  /** An empty machine of the kind, or null where its type is unknown. */
+  /** The capacity of an empty machine of this kind, or null if its type is unknown. */
   MachineCapacity emptyCapacity(StateCache view, String machine) {
     MachineType machineType = view.type(type);
     return machineType == null ? null : MachineCapacity.empty(machine, machineType, zone, spot);
