--- a/src/main/java/org/baygw/control/fleet/RentalPlanner.java
+++ b/src/main/java/org/baygw/control/fleet/RentalPlanner.java
@@ -12,7 +12,10 @@
 import org.baygw.control.quota.UnmetDemand;
 import org.baygw.control.store.StateCache;
 
-/** Works out what to rent for the tasks that found no room, counting what is on its way. */
+/**
+ * Plans rentals for tasks that could not be placed, minus the capacity of machines that are already
+ * rented or booting.
+ */
 final class RentalPlanner {
   private final StateCache view;
   private final CloudInventory inventory;
@@ -26,7 +29,7 @@
     this.returns = returns;
   }
 
-  /** Books what is missing, and gives up machines that failed or do not come up. */
+  /** Books missing machines, and gives up machines that failed or do not boot in time. */
   void plan(List<UnmetDemand> unmet) {
     rentals.expire();
     List<MachineCapacity> capacities = bootingMachines();
@@ -45,7 +48,10 @@
     toRent.forEach(rentals::book);
   }
 
-  /** Adds machines for so many tasks to what is wanted, as far as there is a kind for them. */
+  /**
+   * Adds machines for the given number of tasks to {@code toRent}, as long as a suitable kind
+   * exists.
+   */
   private void addMachines(
       UnmetDemand demand,
       int tasks,
@@ -69,14 +75,15 @@
   }
 
   /**
-   * Empty machines that the cloud lists, that have not reported yet, and that are still awaited.
+   * Capacity of listed machines that have not reported yet and are still awaited. Also marks failed
+   * and given-up machines for return.
    */
   private List<MachineCapacity> bootingMachines() {
     List<MachineCapacity> capacities = new ArrayList<>();
     BootProgress progress = new BootProgress(view, inventory);
     for (Cloud.ListedMachine machine : inventory.machines()) {
       if (returns.returned(machine.name()) || returns.isDraining(machine.name())) {
-        continue; // the list lags: the cloud may have taken it back
+        continue; // the list lags: the cloud may have taken the machine back already
       }
       MachineType type = view.type(machine.type());
       boolean reported = view.machines.containsKey(machine.name());
@@ -88,7 +95,7 @@
               capacities.add(
                   MachineCapacity.empty(machine.name(), type, machine.zone(), machine.spot()));
           case REPLACED -> {
-            // It may still come; until then others do its work.
+            // The machine may still come up; another is rented for its work.
           }
           case GIVEN_UP -> returns.drain(machine.name(), machine.zone(), StateCache.Drain.GIVEN_UP);
         }
@@ -97,7 +104,11 @@
     return capacities;
   }
 
-  /** The cheapest kind that is allowed and not refused just now, spread over the zones. */
+  /**
+   * Returns the allowed kind with the lowest price per CPU that the cloud has not just refused, or
+   * null if there is none. At equal prices the kind with fewer planned machines wins, which spreads
+   * rentals over the zones.
+   */
   private MachineKind chooseKind(UnmetDemand demand, Map<MachineKind, Integer> toRent) {
     JobSpec spec = demand.spec();
     MachineKind best = null;
@@ -117,8 +128,8 @@
           if (spot && !spec.spot() || rentals.refused(kind) || !spot && demand.canWaitForSpot()) {
             continue;
           }
-          // Spot machines that all are taken come free sooner than a dearer one boots, in a short
-          // burst; one that lasts is worth it.
+          // In a short burst of work, busy spot machines become free sooner than a more expensive
+          // machine boots; only demand that lasts justifies renting one.
           if (!spot
               && spec.spot()
               && !spec.service()
