--- a/src/main/java/org/baygw/control/fleet/Rentals.java
+++ b/src/main/java/org/baygw/control/fleet/Rentals.java
@@ -23,16 +23,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rentals under way. A booking's name is durable before the cloud hears of it, so that a new leader
- * sends the same one again; it is forgotten when its machines are known.
+ * Rentals in progress. A booking's name is stored durably before it is sent to the cloud, so that a
+ * new leader repeats the request under the same name. The record is deleted once the booking's
+ * machines are known.
  */
 final class Rentals {
   private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
 
-  /** A machine the cloud said it rented, until it is listed or reports. */
+  /** A machine that the cloud has confirmed as rented, until the cloud lists it or it reports. */
   private record ExpectedMachine(MachineKind kind, long rentedAt) {}
 
-  /** The machines that a booking got, and when the cloud said so. */
+  /** The machines that a booking received, and when the cloud answered. */
   private record Answer(List<String> machines, long answeredAt) {}
 
   private final Clock clock;
@@ -42,28 +43,28 @@
   private final CloudInventory inventory;
   private final Replication replication;
 
-  /** For how long a machine that was rented may be missing from the list. */
+  /** How long a rented machine may be missing from the cloud's list. */
   private final long maxUnlistedMs;
 
   private long claim;
   private int bookingCount;
 
-  /** Bookings about which something is being written or asked, or is not to be asked yet. */
+  /** Bookings with a write or cloud call in flight, or waiting for their next retry. */
   private final Set<String> busy = new HashSet<>();
 
   private final Map<String, Long> retryAt = new HashMap<>();
 
   /**
-   * Bookings whose record is being written. They count like the written ones, or what they are for
-   * would be booked again with every other write that ends, and without end while the state service
-   * is out.
+   * Bookings whose record is being written. They count like written ones; otherwise the same demand
+   * would be booked again whenever another write completes, and endlessly while the state service
+   * is unavailable.
    */
   private final Map<String, Rental> unwritten = new LinkedHashMap<>();
 
   private final Map<String, Answer> answered = new HashMap<>();
   private final Map<String, ExpectedMachine> expected = new HashMap<>();
 
-  /** Kinds that the cloud has no more of, and until when they are not asked for. */
+  /** Kinds that the cloud has no capacity for, and until when they are not requested. */
   private final Map<MachineKind, Long> refusedUntil = new HashMap<>();
 
   Rentals(
@@ -83,7 +84,7 @@
     this.maxUnlistedMs = (long) (settings.cloud().listLagS() * 1000 * Constants.UNLISTED_LIST_LAGS);
   }
 
-  /** Begins anew: this controller has become the leader under this claim. */
+  /** Resets the state when this controller becomes the leader under the given claim. */
   void reset(long newClaim) {
     claim = newClaim;
     bookingCount = 0;
@@ -95,7 +96,7 @@
     inheritRefusals();
   }
 
-  /** Takes over what the former leader knew of the cloud's capacity. */
+  /** Takes over the former leader's knowledge of which kinds the cloud has no capacity for. */
   private void inheritRefusals() {
     Replication.InheritedQueue inherited = replication.inheritedQueue();
     if (inherited != null) {
@@ -113,7 +114,7 @@
     return refusedUntil.containsKey(kind);
   }
 
-  /** Empty machines that are rented or are being rented, as far as the cloud does not list them. */
+  /** Capacity of machines that are rented or being rented but not listed by the cloud yet. */
   List<MachineCapacity> unlistedMachines() {
     List<MachineCapacity> capacities = new ArrayList<>();
     expected.forEach((name, machine) -> addCapacity(capacities, machine.kind(), name));
@@ -135,7 +136,10 @@
     }
   }
 
-  /** Drops what is known by now, and what is not to be waited for any more. */
+  /**
+   * Drops refusals and retry delays that are over, and expected machines that have appeared or are
+   * overdue.
+   */
   void expire() {
     long now = clock.now();
     refusedUntil.values().removeIf(until -> now >= until);
@@ -155,7 +159,8 @@
   }
 
   /**
-   * Sends bookings that have no answer yet, also those of a former leader: the name makes it safe.
+   * Sends bookings that have no answer yet, including those of a former leader: the booking's name
+   * makes the request idempotent.
    */
   void tick() {
     expire();
@@ -181,7 +186,7 @@
 
   /** Books machines of a kind. */
   void book(MachineKind kind, int count) {
-    // Claim stamps never come again, so neither does a booking's name.
+    // Claim stamps are never reused, so booking names are unique.
     String name = "w" + claim + "-" + ++bookingCount;
     Rental rental = new Rental(kind.type(), kind.zone(), kind.spot(), count);
     busy.add(name);
@@ -214,9 +219,9 @@
             case NO_CAPACITY -> {
               markRefused(MachineKind.of(rental));
               deleteRecord(name, entry.stamp());
-              LOG.info("{}: no capacity for {}", name, MachineKind.of(rental));
+              LOG.info("booking {}: no capacity for {}", name, MachineKind.of(rental));
             }
-            // It may have been carried out: the same name is sent again, never another for it.
+            // The rental may have been carried out, so it is retried under the same name only.
             case FAILED -> retryAt.put(name, clock.now() + Constants.CLOUD_RETRY_MS);
           }
         });
@@ -235,7 +240,7 @@
     if (machines.size() < rental.count()) {
       markRefused(kind);
     }
-    LOG.info("{}: rented {} of {} {}", name, machines.size(), rental.count(), kind);
+    LOG.info("booking {}: rented {} of {} {}", name, machines.size(), rental.count(), kind);
   }
 
   private void markRefused(MachineKind kind) {
@@ -257,7 +262,7 @@
         ok -> {
           busy.remove(name);
           if (!ok && answer != null) {
-            answered.put(name, answer); // or it would be sent again, for nothing
+            answered.put(name, answer); // otherwise the booking would be sent again needlessly
           }
         });
   }
