--- a/src/main/java/org/baygw/control/fleet/ReturnPlanner.java
+++ b/src/main/java/org/baygw/control/fleet/ReturnPlanner.java
@@ -18,8 +18,8 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * Decides which machines go back: those that are silent or sick, those that stand empty for long,
- * and those that are leaving and empty.
+ * Decides which machines to return: silent or sick machines, machines that have been empty for
+ * long, and empty machines that are leaving.
  */
 final class ReturnPlanner {
   private final Clock clock;
@@ -31,7 +31,7 @@
   private final Map<String, Long> emptySince = new HashMap<>();
   private final Map<String, Long> silentSince = new HashMap<>();
 
-  /** When so many of a zone were silent last that it looked like a cut. */
+  /** By zone, the last time at which its silent machines suggested a network outage. */
   private final Map<String, Long> zoneOutageAt = new HashMap<>();
 
   ReturnPlanner(
@@ -49,13 +49,13 @@
     this.returns = returns;
   }
 
-  /** Begins anew: this controller has become the leader. */
+  /** Resets the state when this controller becomes the leader. */
   void reset() {
     emptySince.clear();
     silentSince.clear();
   }
 
-  /** Marks machines for return: those given up, and those empty for long. */
+  /** Marks machines for return: those given up, and those that have been empty for long. */
   void tick() {
     long now = clock.now();
     emptySince.keySet().retainAll(view.machines.keySet());
@@ -75,13 +75,13 @@
         silentCounts.merge(machine.zone(), 1, Integer::sum);
       }
     }
-    // A zone is cut off as a whole: what counts is its own share, and whether its controllers are
-    // lost.
+    // Network outages affect whole zones, so each zone is judged by its own share of silent
+    // machines and by whether its controllers are lost.
     Set<String> outageZones = new HashSet<>();
     silentCounts.forEach(
-        (zone, n) -> {
-          if (n > 2
-              && (n > machineCounts.get(zone) * Constants.OUTAGE_SILENT_SHARE
+        (zone, count) -> {
+          if (count > 2
+              && (count > machineCounts.get(zone) * Constants.OUTAGE_SILENT_SHARE
                   || membership.lost(zone))) {
             outageZones.add(zone);
             zoneOutageAt.put(zone, now);
@@ -92,7 +92,8 @@
       if (returns.isDraining(machine.name())) {
         continue;
       }
-      // A sick machine fails what it starts, not what already runs: replicas there are not ended.
+      // A sick machine fails tasks that it starts, not those already running, so it is kept while
+      // it runs service replicas.
       if (machine.condition() == Machine.Condition.SICK && !hasReplica(machine)
           || machine.condition() == Machine.Condition.SILENT
               && !keepSilent(machine, now, outageZones.contains(machine.zone()))) {
@@ -112,7 +113,7 @@
       boolean leaving = machine.condition() != Machine.Condition.OK;
       double keepMs = type == null || leaving ? 0 : type.bootS() * 1000 * Constants.IDLE_BOOTS;
       if (machine.spot() && type != null && type.spotPrice() > 0) {
-        keepMs *= type.price() / type.spotPrice(); // the same cost buys a longer wait
+        keepMs *= type.price() / type.spotPrice(); // kept longer for the same cost
       }
       if (now - since >= keepMs && (leaving || !hasDemand(machine))) {
         returns.drain(machine.name(), machine.zone(), StateCache.Drain.IDLE);
@@ -121,9 +122,9 @@
   }
 
   /**
-   * Whether a task that found no room could run on the empty machine, which is then about to get
-   * it. One that suits none of them is not kept: it costs, and where the cloud has no more machines
-   * to give it stands in the way of those that are missing.
+   * Whether an unplaced task fits on the empty machine, which will then receive it shortly. A
+   * machine that fits no such task is not kept: it costs money, and if the cloud's capacity is
+   * exhausted it blocks the rental of machines that are needed.
    */
   private boolean hasDemand(Machine machine) {
     MachineType type = view.type(machine.type());
@@ -140,8 +141,9 @@
   }
 
   /**
-   * Whether a silent machine is kept for now. When many fall silent at once a cut is likelier than
-   * their deaths: returning them all would leave nothing to go on with when it ends.
+   * Whether a silent machine is kept for now. When many machines fall silent at once, a network
+   * outage is likelier than machine failures, and returning them all would leave no machines to
+   * continue with when the outage ends.
    */
   private boolean keepSilent(Machine machine, long now, boolean zoneOutage) {
     long silentMs = now - silentSince.get(machine.name());
