--- a/src/main/java/org/baygw/control/fleet/Returns.java
+++ b/src/main/java/org/baygw/control/fleet/Returns.java
@@ -24,8 +24,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Returns machines. A machine is marked as leaving before it is returned, so that nothing is placed
- * on it any more, and that the cloud has taken it back is durable before anyone acts on it.
+ * Returns machines to the cloud. A machine is first marked as draining, so that no more tasks are
+ * placed on it. That the cloud has taken it back is stored durably before anyone acts on it.
  */
 final class Returns {
   private static final Logger LOG = LoggerFactory.getLogger(Returns.class);
@@ -39,21 +39,24 @@
   private long claim;
   private long prunedAt;
 
-  /** Marks that are to be written or are being written. */
+  /** Machines whose drain entry is not written yet or is being written. */
   private final Set<String> pendingDrains = new HashSet<>();
 
   private final Map<Partition, Map<String, StateCache.Drain>> requestedDrains = new HashMap<>();
 
-  /** Partitions whose list of leaving machines is being written. */
+  /** Partitions whose list of draining machines is being written. */
   private final Set<Partition> busyPartitions = new HashSet<>();
 
-  /** Machines the cloud has taken back, until that is durable and they are off the list. */
+  /**
+   * Machines that the cloud has taken back, until this is stored durably and they are removed from
+   * their partition's list.
+   */
   private final Set<String> gone = new HashSet<>();
 
-  /** Machines given back that the cloud may still list. */
+  /** Returned machines that the cloud may still list. */
   private final Set<String> returned = new HashSet<>();
 
-  /** Machines that one partition's list of leaving machines has room for. */
+  /** How many machines fit into one partition's list of draining machines. */
   private final int maxDrainsPerPartition;
 
   private boolean returnInFlight;
@@ -77,7 +80,7 @@
         (int) (settings.state().valueKb() * 1024 / Constants.DRAIN_ENTRY_BYTES);
   }
 
-  /** Begins anew: this controller has become the leader under this claim. */
+  /** Resets the state when this controller becomes the leader under the given claim. */
   void reset(long newClaim) {
     claim = newClaim;
     pendingDrains.clear();
@@ -92,7 +95,7 @@
     return returned.contains(machine);
   }
 
-  /** Whether the machine is marked for return, or is being marked. */
+  /** Whether the machine is marked for return or is about to be. */
   boolean isDraining(String machine) {
     return view.drains.containsKey(machine) || pendingDrains.contains(machine);
   }
@@ -104,23 +107,24 @@
     }
   }
 
-  /** Marks a machine for return. */
+  /** Requests that a machine be marked for return; {@link #tick} writes the mark. */
   void drain(String name, String zone, StateCache.Drain reason) {
     Partition partition = Partition.of(name, zone, view.partitionsPerZone());
     requestedDrains.computeIfAbsent(partition, k -> new LinkedHashMap<>()).put(name, reason);
     pendingDrains.add(name);
-    LOG.debug("{} is to go: {}", name, reason);
+    LOG.debug("marking machine {} for return: {}", name, reason);
   }
 
   /**
-   * Writes what was asked of one partition's list of leaving machines, in one change. A machine
-   * stands there before it is returned, and until its own record is gone.
+   * Applies requested marks, confirmed returns and removals to one partition's list of draining
+   * machines in a single write. A machine is listed before it is returned, and until its own record
+   * is deleted.
    */
   private void writeDrains(Partition partition) {
     Map<String, StateCache.Drain> drains = new LinkedHashMap<>(view.drains(partition));
     Map<String, StateCache.Drain> added = takeRequested(partition, drains.size());
     added.forEach(drains::putIfAbsent);
-    // That the cloud has taken a machine back is durable before anyone acts on it.
+    // GONE is stored durably before anyone acts on the machine's return.
     drains.replaceAll((m, d) -> gone.contains(m) ? StateCache.Drain.GONE : d);
     drains
         .entrySet()
@@ -152,8 +156,8 @@
   }
 
   /**
-   * Takes as much of what was asked of a partition as its list, which is one value of the state
-   * service, has room for; the rest follows when machines have come off it.
+   * Takes as many of a partition's requested drains as fit into its list, which is one value in the
+   * state service. The rest follow when machines have been removed from the list.
    */
   private Map<String, StateCache.Drain> takeRequested(Partition partition, int listedCount) {
     Map<String, StateCache.Drain> waiting = requestedDrains.getOrDefault(partition, Map.of());
@@ -167,7 +171,7 @@
     return taken;
   }
 
-  /** Whether a machine that was to go because it was idle got a task before that was durable. */
+  /** Whether a machine that was marked as idle received a task before the mark was durable. */
   private boolean receivedTask(Partition partition, String name, StateCache.Drain reason) {
     return reason == StateCache.Drain.IDLE
         && viewIsCurrent(partition)
@@ -175,13 +179,14 @@
         && !view.on(name).isEmpty();
   }
 
-  /** Whether the copy has all that was placed in the partition before its list last changed. */
+  /** Whether the view includes every placement made before the partition's list last changed. */
   private boolean viewIsCurrent(Partition partition) {
     return view.revision() >= view.stamp(Keys.drain(partition));
   }
 
   /**
-   * Returns what is marked; once the cloud said so, that is durable proof that all on it is gone.
+   * Returns marked machines. Once the cloud has confirmed a return, the machine is durably recorded
+   * as gone, which proves that everything on it has ended.
    */
   void tick() {
     long now = clock.now();
@@ -218,7 +223,7 @@
             nextReturn = clock.now() + Constants.CLOUD_RETRY_MS;
             return;
           }
-          LOG.info("returned {}", names);
+          LOG.info("returned machines {}", names);
           returnInFlight = false;
           gone.addAll(names);
           returned.addAll(names);
