--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -90,7 +90,7 @@
    */
   public static final int DELETES_PER_WRITE = 6;
 
-  /** Bytes per machine in a partition's list of draining machines, with some to spare. */
+  /** Bytes per machine in a partition's list of draining machines, with some margin. */
   public static final int DRAIN_ENTRY_BYTES = 40;
 
   /** Images remembered per machine: about as many as its cache holds. */
@@ -391,27 +391,33 @@
    */
   public static final long STALL_MS = 400;
 
-  /** Share of a zone's machines silent at once above which a network outage is assumed. */
-  public static final double SILENT_SHARE_MAX = 0.4;
+  /**
+   * Share of silent machines in a zone above which a network outage is assumed instead of machine
+   * failures.
+   */
+  public static final double OUTAGE_SILENT_SHARE = 0.4;
 
-  /** Report periods for which a silent machine is always kept, to see if others go silent too. */
+  /**
+   * Report periods for which a silent machine is always kept, to see whether others fall silent
+   * too.
+   */
   public static final double SILENT_MIN_REPORTS = 0.5;
 
   /**
-   * Report periods for which silent machines are kept after a network outage: their workers first
-   * try the controllers one after the other.
+   * Report periods for which machines still silent at the end of a zone outage are kept: they are
+   * looking for a controller to report to.
    */
   public static final double SILENT_AFTER_OUTAGE_REPORTS = 2;
 
   /**
-   * Time for which silent machines are kept during a network outage: it will end, and replacements
-   * first have to boot.
+   * ms for which silent machines are kept during a zone outage: outages end, and replacements would
+   * have to boot first.
    */
   public static final long SILENT_OUTAGE_MS = 60_000;
 
   /**
-   * Share of the cancellation time limit for which a silent machine with cancelled tasks is kept
-   * during a network outage.
+   * Share of the time for a cancellation after which a silent machine with cancelled tasks is
+   * returned even during a zone outage.
    */
   public static final double SILENT_CANCEL_SHARE = 0.4;
 
@@ -496,34 +502,36 @@
   /** ms. Longest backoff of a failing job; also for how long it is not retried on a machine. */
   public static final long ERROR_BACKOFF_MAX_MS = 60_000;
 
-  /** Multiple of the machine list's lag for which a rented machine may be missing from it. */
+  /** Multiple of the cloud list's lag for which a rented machine may be missing from the list. */
   public static final double UNLISTED_LIST_LAGS = 4;
 
-  /** Interval between checks for machines to rent or return: a boot takes seconds. */
-  public static final long FLEET_PLAN_MS = 250;
+  /** ms between two checks of which machines to rent or return: a boot takes seconds. */
+  public static final long FLEET_INTERVAL_MS = 250;
 
-  /** Interval between listings of the cloud's machines. */
+  /** ms between two reads of the cloud's machine list. */
   public static final long CLOUD_LIST_INTERVAL_MS = 2_500;
 
-  /** Interval between reads of the machine types, to follow spot prices. */
+  /** ms between two reads of the machine types, which carry the current spot prices. */
   public static final long MACHINE_TYPES_INTERVAL_MS = 60_000;
 
-  /** Timeout of a cloud call; calls take 200 ms. */
+  /** Timeout of a cloud call in ms; calls take 200 ms. */
   public static final int CLOUD_TIMEOUT_MS = 4_000;
 
-  /** Wait before the next call to the cloud after a failure or refusal. */
+  /** ms before a retry after the cloud failed or refused a call. */
   public static final long CLOUD_RETRY_MS = 1_000;
 
-  /** Time for which a kind of machine is not requested after a "no capacity" answer. */
-  public static final long NO_CAPACITY_MS = 8_000;
+  /** ms for which a kind of machine is not requested again after the cloud had no capacity. */
+  public static final long NO_CAPACITY_BACKOFF_MS = 8_000;
 
   /**
-   * Multiple of the nominal boot time after which a machine is late: a boot usually takes at most
-   * 1.5 times as long.
+   * Multiple of the nominal boot time after which a booting machine is late: boots usually take at
+   * most 1.5.
    */
   public static final double BOOT_LATE_FACTOR = 1.6;
 
-  /** Late machines of a type, not overtaken by newer ones, at which the cloud counts as slow. */
+  /**
+   * Late machines of a type, none overtaken by a newer one, at which the cloud is considered slow.
+   */
   public static final int SLOW_CLOUD_LATE_BOOTS = 4;
 
   /** Multiple of the nominal boot time after which a machine is given up if the cloud is slow. */
@@ -532,10 +540,10 @@
   /** Multiple of the nominal boot time after which a machine is given up. */
   public static final double BOOT_GIVE_UP_FACTOR = 3.0;
 
-  /** Boot times for which an empty machine is kept: this saves the wait for another to boot. */
+  /** Boot times for which an empty machine is kept: that saves waiting for another to boot. */
   public static final double IDLE_BOOT_TIMES = 0.7;
 
-  /** Boot times for which array jobs wait for spot machines before on-demand ones are rented. */
+  /** Boot times that array jobs wait for spot machines before ordinary ones are rented. */
   public static final double SPOT_WAIT_BOOTS = 0.4;
 
   /** Machines per rental request (protocol). */
--- a/src/main/java/org/baygw/control/fleet/Returns.java
+++ b/src/main/java/org/baygw/control/fleet/Returns.java
@@ -24,8 +24,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Returns machines. A machine is marked as leaving before it is returned, so that nothing is placed
- * on it any more, and that the cloud has taken it back is durable before anyone acts on it.
+ * Returns machines to the cloud. A machine is first marked as draining, so that no more tasks are
+ * placed on it. That the cloud has taken it back is stored durably before anyone acts on it.
  */
 final class Returns {
   private static final Logger LOG = LoggerFactory.getLogger(Returns.class);
@@ -39,24 +39,27 @@
   private long claim;
   private long prunedAt;
 
-  /** Marks that are to be written or are being written. */
-  private final Set<String> draining = new HashSet<>();
+  /** Machines whose drain entry is not written yet or is being written. */
+  private final Set<String> pendingDrains = new HashSet<>();
 
-  private final Map<Partition, Map<String, StateCache.Drain>> asked = new HashMap<>();
+  private final Map<Partition, Map<String, StateCache.Drain>> requestedDrains = new HashMap<>();
 
-  /** Partitions whose list of leaving machines is being written. */
-  private final Set<Partition> busyLists = new HashSet<>();
+  /** Partitions whose list of draining machines is being written. */
+  private final Set<Partition> busyPartitions = new HashSet<>();
 
-  /** Machines the cloud has taken back, until that is durable and they are off the list. */
+  /**
+   * Machines that the cloud has taken back, until this is stored durably and they are removed from
+   * their partition's list.
+   */
   private final Set<String> gone = new HashSet<>();
 
-  /** Machines given back that the cloud may still list. */
+  /** Returned machines that the cloud may still list. */
   private final Set<String> returned = new HashSet<>();
 
-  /** Machines that one partition's list of leaving machines has room for. */
-  private final int mostListed;
+  /** How many machines fit into one partition's list of draining machines. */
+  private final int maxDrainsPerPartition;
 
-  private boolean returning;
+  private boolean returnInFlight;
   private long nextReturn;
 
   Returns(
@@ -73,17 +76,18 @@
     this.membership = membership;
     this.cloud = cloud;
     this.inventory = inventory;
-    this.mostListed = (int) (settings.state().valueKb() * 1024 / Constants.DRAIN_ENTRY_BYTES);
+    this.maxDrainsPerPartition =
+        (int) (settings.state().valueKb() * 1024 / Constants.DRAIN_ENTRY_BYTES);
   }
 
-  /** Begins anew: this controller has become the leader under this claim. */
+  /** Resets the state when this controller becomes the leader under the given claim. */
   void reset(long newClaim) {
     claim = newClaim;
-    draining.clear();
-    asked.clear();
-    busyLists.clear();
+    pendingDrains.clear();
+    requestedDrains.clear();
+    busyPartitions.clear();
     gone.clear();
-    returning = false;
+    returnInFlight = false;
   }
 
   /** Whether the cloud has taken the machine back, though it may still list it. */
@@ -91,9 +95,9 @@
     return returned.contains(machine);
   }
 
-  /** Whether the machine is marked for return, or is being marked. */
-  boolean leaving(String machine) {
-    return view.drains.containsKey(machine) || draining.contains(machine);
+  /** Whether the machine is marked for return or is about to be. */
+  boolean isDraining(String machine) {
+    return view.drains.containsKey(machine) || pendingDrains.contains(machine);
   }
 
   private void pruneReturned() {
@@ -103,120 +107,124 @@
     }
   }
 
-  /** Marks a machine for return. */
-  void drain(String name, String zone, StateCache.Drain why) {
-    Partition part = Partition.of(name, zone, view.partitionsPerZone());
-    asked.computeIfAbsent(part, k -> new LinkedHashMap<>()).put(name, why);
-    draining.add(name);
-    LOG.debug("{} is to go: {}", name, why);
+  /** Requests that a machine be marked for return; {@link #tick} writes the mark. */
+  void drain(String name, String zone, StateCache.Drain reason) {
+    Partition partition = Partition.of(name, zone, view.partitionsPerZone());
+    requestedDrains.computeIfAbsent(partition, k -> new LinkedHashMap<>()).put(name, reason);
+    pendingDrains.add(name);
+    LOG.debug("marking machine {} for return: {}", name, reason);
   }
 
   /**
-   * Writes what was asked of one partition's list of leaving machines, in one change. A machine
-   * stands there before it is returned, and until its own record is gone.
+   * Applies requested marks, confirmed returns and removals to one partition's list of draining
+   * machines in a single write. A machine is listed before it is returned, and until its own record
+   * is deleted.
    */
-  private void list(Partition part) {
-    Map<String, StateCache.Drain> next = new LinkedHashMap<>(view.drains(part));
-    Map<String, StateCache.Drain> put = takeAsked(part, next.size());
-    put.forEach(next::putIfAbsent);
-    // That the cloud has taken a machine back is durable before anyone acts on it.
-    next.replaceAll((m, d) -> gone.contains(m) ? StateCache.Drain.GONE : d);
-    next.entrySet()
+  private void writeDrains(Partition partition) {
+    Map<String, StateCache.Drain> drains = new LinkedHashMap<>(view.drains(partition));
+    Map<String, StateCache.Drain> added = takeRequested(partition, drains.size());
+    added.forEach(drains::putIfAbsent);
+    // GONE is stored durably before anyone acts on the machine's return.
+    drains.replaceAll((m, d) -> gone.contains(m) ? StateCache.Drain.GONE : d);
+    drains
+        .entrySet()
         .removeIf(
             e ->
                 e.getValue() == StateCache.Drain.GONE && !view.machines.containsKey(e.getKey())
-                    || cameToUse(part, e.getKey(), e.getValue()));
-    Set<String> cordons = new HashSet<>(view.cordons);
-    cordons.removeIf(m -> next.containsKey(m) || !view.drains(part).containsKey(m));
-    if (next.equals(view.drains(part))) {
-      draining.removeAll(put.keySet());
+                    || receivedTask(partition, e.getKey(), e.getValue()));
+    Set<String> obsoleteCordons = new HashSet<>(view.cordons);
+    obsoleteCordons.removeIf(m -> drains.containsKey(m) || !view.drains(partition).containsKey(m));
+    if (drains.equals(view.drains(partition))) {
+      pendingDrains.removeAll(added.keySet());
       return;
     }
-    ObjectNode v = Json.object();
-    next.forEach((m, d) -> v.put(m, d.name()));
-    String key = Keys.drain(part);
-    Txn txn = new Txn().when(Keys.claim(Keys.LEADER), claim).when(key, view.stamp(key)).put(key, v);
-    cordons.forEach(m -> txn.delete(Keys.cordon(m)));
-    busyLists.add(part);
+    ObjectNode value = Json.object();
+    drains.forEach((m, d) -> value.put(m, d.name()));
+    String key = Keys.drain(partition);
+    Txn txn =
+        new Txn().when(Keys.claim(Keys.LEADER), claim).when(key, view.stamp(key)).put(key, value);
+    obsoleteCordons.forEach(m -> txn.delete(Keys.cordon(m)));
+    busyPartitions.add(partition);
     store.txnWithRetry(
         Store.Urgency.CANCEL,
         txn,
         Constants.STATE_TIMEOUT_MS,
         ok -> {
-          busyLists.remove(part);
-          draining.removeAll(put.keySet());
+          busyPartitions.remove(partition);
+          pendingDrains.removeAll(added.keySet());
         });
   }
 
   /**
-   * Takes as much of what was asked of a partition as its list, which is one value of the state
-   * service, has room for; the rest follows when machines have come off it.
+   * Takes as many of a partition's requested drains as fit into its list, which is one value in the
+   * state service. The rest follow when machines have been removed from the list.
    */
-  private Map<String, StateCache.Drain> takeAsked(Partition part, int listed) {
-    Map<String, StateCache.Drain> waiting = asked.getOrDefault(part, Map.of());
+  private Map<String, StateCache.Drain> takeRequested(Partition partition, int listedCount) {
+    Map<String, StateCache.Drain> waiting = requestedDrains.getOrDefault(partition, Map.of());
     Map<String, StateCache.Drain> taken = new LinkedHashMap<>();
-    for (Iterator<Map.Entry<String, StateCache.Drain>> it = waiting.entrySet().iterator();
-        it.hasNext() && listed + taken.size() < mostListed; ) {
-      Map.Entry<String, StateCache.Drain> entry = it.next();
+    for (Iterator<Map.Entry<String, StateCache.Drain>> iterator = waiting.entrySet().iterator();
+        iterator.hasNext() && listedCount + taken.size() < maxDrainsPerPartition; ) {
+      Map.Entry<String, StateCache.Drain> entry = iterator.next();
       taken.put(entry.getKey(), entry.getValue());
-      it.remove();
+      iterator.remove();
     }
     return taken;
   }
 
-  /** Whether a machine that was to go because it was idle got a task before that was durable. */
-  private boolean cameToUse(Partition part, String name, StateCache.Drain why) {
-    return why == StateCache.Drain.IDLE
-        && settled(part)
+  /** Whether a machine that was marked as idle received a task before the mark was durable. */
+  private boolean receivedTask(Partition partition, String name, StateCache.Drain reason) {
+    return reason == StateCache.Drain.IDLE
+        && viewIsCurrent(partition)
         && !gone.contains(name)
         && !view.tasksOn(name).isEmpty();
   }
 
-  /** Whether the copy has all that was placed in the partition before its list last changed. */
-  private boolean settled(Partition part) {
-    return view.revision() >= view.stamp(Keys.drain(part));
+  /** Whether the view includes every placement made before the partition's list last changed. */
+  private boolean viewIsCurrent(Partition partition) {
+    return view.revision() >= view.stamp(Keys.drain(partition));
   }
 
   /**
-   * Returns what is marked; once the cloud said so, that is durable proof that all on it is gone.
+   * Returns marked machines. Once the cloud has confirmed a return, the machine is durably recorded
+   * as gone, which proves that everything on it has ended.
    */
   void tick() {
     long now = clock.now();
     pruneReturned();
     List<String> names = new ArrayList<>();
     gone.removeIf(m -> !view.drains.containsKey(m));
-    for (Partition part : membership.partitions()) {
-      if (busyLists.contains(part)) {
+    for (Partition partition : membership.partitions()) {
+      if (busyPartitions.contains(partition)) {
         continue;
       }
-      list(part);
-      if (busyLists.contains(part) || !settled(part)) {
+      writeDrains(partition);
+      if (busyPartitions.contains(partition) || !viewIsCurrent(partition)) {
         continue;
       }
-      view.drains(part)
+      view.drains(partition)
           .forEach(
-              (name, d) -> {
-                if (d != StateCache.Drain.GONE
+              (name, drain) -> {
+                if (drain != StateCache.Drain.GONE
                     && !gone.contains(name)
                     && names.size() < Constants.MAX_RETURN) {
                   names.add(name);
                 }
               });
     }
-    if (names.isEmpty() || returning || now < nextReturn) {
+    if (names.isEmpty() || returnInFlight || now < nextReturn) {
       return;
     }
-    returning = true;
-    cloud.giveBack(
+    returnInFlight = true;
+    cloud.returnMachines(
         names,
         ok -> {
           if (!ok) {
-            returning = false;
+            returnInFlight = false;
             nextReturn = clock.now() + Constants.CLOUD_RETRY_MS;
             return;
           }
-          LOG.info("returned {}", names);
-          returning = false;
+          LOG.info("returned machines {}", names);
+          returnInFlight = false;
           gone.addAll(names);
           returned.addAll(names);
         });
--- a/src/main/java/org/baygw/control/workers/CancellationDeadline.java
+++ b/src/main/java/org/baygw/control/workers/CancellationDeadline.java
@@ -206,7 +206,7 @@
   private void returnMachines(List<String> machines) {
     LOG.info("cancelled tasks not proved to have ended in time: returning machines {}", machines);
     returnInProgress = true;
-    cloud.giveBack(
+    cloud.returnMachines(
         machines,
         ok -> {
           returnInProgress = false;
