--- a/src/test/java/org/baygw/control/sim/FailoverMeasurement.java
+++ b/src/test/java/org/baygw/control/sim/FailoverMeasurement.java
@@ -20,7 +20,7 @@
   /**
    * Twenty machines with short tasks and services; the leader's controller dies at a random time.
    */
-  private static String day(long seed) {
+  private static String scenarioText(long seed) {
     double at = 30 + (seed * 37 % 100) / 20.0;
     return String.format(
         Locale.ROOT,
@@ -42,18 +42,18 @@
 
   @Test
   void measures() {
-    FailoverParts leader = new FailoverParts("leader");
-    FailoverParts partitions = new FailoverParts("partition owner");
+    FailoverPhases leader = new FailoverPhases("leader");
+    FailoverPhases partitions = new FailoverPhases("partition owner");
     for (long seed = 1; seed <= KILLS; seed++) {
-      Scenario scenario = Scenario.prepare(day(seed));
-      assertEquals(List.of(), scenario.playOut(), "day " + seed);
-      SimulatedCluster world = scenario.world();
-      long diedAt = world.lastCrashAt;
-      for (Map.Entry<String, FailoverProbe.Failover> entry : world.probe.latest.entrySet()) {
-        if (entry.getValue().freedAt >= diedAt) {
+      Scenario scenario = Scenario.prepare(scenarioText(seed));
+      assertEquals(List.of(), scenario.runToEnd(), "day " + seed);
+      SimulatedCluster cluster = scenario.cluster();
+      long crashedAt = cluster.lastCrashAt;
+      for (Map.Entry<String, FailoverProbe.Failover> entry : cluster.probe.latest.entrySet()) {
+        if (entry.getValue().claimEndedAt >= crashedAt) {
           boolean leads = entry.getKey().equals(FailoverProbe.LEADER);
           if (leads || entry.getValue().workers > 0) {
-            (leads ? leader : partitions).add(entry.getValue(), diedAt);
+            (leads ? leader : partitions).add(entry.getValue(), crashedAt);
           }
         }
       }
--- a/src/test/java/org/baygw/control/sim/FailoverOnLoopback.java
+++ b/src/test/java/org/baygw/control/sim/FailoverOnLoopback.java
@@ -25,17 +25,17 @@
   private static final boolean STANDBY = Boolean.getBoolean("standby");
   private static final Path LOGS = Path.of("target/loopback");
 
-  private interface Days {
-    String day(long seed);
+  private interface ScenarioSource {
+    String text(long seed);
   }
 
   /** Plays one day for each cluster, all at the same time. */
-  private static List<Scenario> play(Days days) throws Exception {
+  private static List<Scenario> play(ScenarioSource source) throws Exception {
     ExecutorService threads = Executors.newFixedThreadPool(CLUSTERS);
     List<Future<Scenario>> played = new ArrayList<>();
     for (long seed = FIRST; seed < FIRST + CLUSTERS; seed++) {
-      long mine = seed;
-      played.add(threads.submit(() -> play(mine, days.day(mine))));
+      long scenarioSeed = seed;
+      played.add(threads.submit(() -> play(scenarioSeed, source.text(scenarioSeed))));
     }
     List<Scenario> scenarios = new ArrayList<>();
     for (Future<Scenario> one : played) {
@@ -45,20 +45,21 @@
     return scenarios;
   }
 
-  private static Scenario play(long seed, String day) throws Exception {
-    Scenario scenario = Scenario.prepare(day);
+  private static Scenario play(long seed, String text) throws Exception {
+    Scenario scenario = Scenario.prepare(text);
     Path logs = LOGS.resolve(seed + (STANDBY ? "-on" : "-off"));
-    List<String> failures = ProcessDays.play(scenario, ProcessDays.command(STANDBY), logs);
+    List<String> failures =
+        ProcessScenarios.play(scenario, ProcessScenarios.command(STANDBY), logs);
     assertEquals(List.of(), failures, "day " + seed);
     return scenario;
   }
 
   @Test
   void kills() throws Exception {
-    FailoverParts leader = new FailoverParts("leader");
-    FailoverParts partitions = new FailoverParts("partition owner");
-    for (Scenario scenario : play(seed -> ProcessDays.kills(seed, KILLS))) {
-      ProcessDays.measure(scenario.world(), leader, partitions);
+    FailoverPhases leader = new FailoverPhases("leader");
+    FailoverPhases partitions = new FailoverPhases("partition owner");
+    for (Scenario scenario : play(seed -> ProcessScenarios.kills(seed, KILLS))) {
+      ProcessScenarios.measure(scenario.cluster(), leader, partitions);
     }
     System.out.println(leader.table() + partitions.table());
   }
@@ -66,8 +67,8 @@
   @Test
   void pauses() throws Exception {
     int done = 0;
-    for (Scenario scenario : play(seed -> ProcessDays.pauses(seed, SECONDS))) {
-      done += scenario.world().checker.doneTold.size();
+    for (Scenario scenario : play(seed -> ProcessScenarios.pauses(seed, SECONDS))) {
+      done += scenario.cluster().checker.doneToldAt.size();
     }
     System.out.println(CLUSTERS + " days of pauses, " + done + " jobs done");
   }
@@ -81,23 +82,23 @@
                 + "at 25 every 0.4 until 85 submit run-# tasks=2 run=4 cpus=2\nrun 150");
     Path logs = LOGS.resolve("cost" + (STANDBY ? "-on" : "-off"));
     Files.createDirectories(logs);
-    scenario.setUpWorld();
+    scenario.setUpCluster();
     try (ProcessCluster cluster =
-        new ProcessCluster(scenario.world(), ProcessDays.command(STANDBY), logs)) {
-      scenario.begin();
+        new ProcessCluster(scenario.cluster(), ProcessScenarios.command(STANDBY), logs)) {
+      scenario.start();
       for (int second : new int[] {25, 85, 90, 150}) {
         cluster.runUntil(second * 1_000L);
         System.out.println("standby " + STANDBY + ", after " + second + " s: " + cluster.usage());
       }
     }
-    assertEquals(List.of(), scenario.judge());
+    assertEquals(List.of(), scenario.evaluate());
   }
 
   @Test
   void randomDays() throws Exception {
     int done = 0;
-    for (Scenario scenario : play(seed -> ProcessDays.random(seed, SECONDS))) {
-      done += scenario.world().checker.doneTold.size();
+    for (Scenario scenario : play(seed -> ProcessScenarios.random(seed, SECONDS))) {
+      done += scenario.cluster().checker.doneToldAt.size();
     }
     System.out.println(CLUSTERS + " days of " + SECONDS + " s, " + done + " jobs done");
   }
--- /dev/null
+++ b/src/test/java/org/baygw/control/sim/FailoverPhases.java
@@ -0,0 +1,65 @@
+package org.baygw.control.sim;
+
+import java.util.Locale;
+import org.HdrHistogram.Histogram;
+
+/** Where the time from a controller's end to its successors' first orders goes, over many ends. */
+final class FailoverPhases {
+  private static final long MAX_MS = 600_000;
+  private static final int SIGNIFICANT_DIGITS = 3;
+
+  private final String title;
+  private final Histogram endToLeaseExpiry = new Histogram(MAX_MS, SIGNIFICANT_DIGITS);
+  private final Histogram leaseExpiryToClaim = new Histogram(MAX_MS, SIGNIFICANT_DIGITS);
+  private final Histogram claimToOrder = new Histogram(MAX_MS, SIGNIFICANT_DIGITS);
+  private final Histogram endToLaunch = new Histogram(MAX_MS, SIGNIFICANT_DIGITS);
+  private final Histogram endToOrder = new Histogram(MAX_MS, SIGNIFICANT_DIGITS);
+  private int withoutOrder;
+
+  FailoverPhases(String title) {
+    this.title = title;
+  }
+
+  void add(FailoverProbe.Failover failover, long endedAt) {
+    endToLeaseExpiry.recordValue(failover.claimEndedAt - endedAt);
+    if (failover.claimedAt < 0 || failover.firstOrderAt < 0) {
+      withoutOrder++;
+      return;
+    }
+    leaseExpiryToClaim.recordValue(failover.claimedAt - failover.claimEndedAt);
+    claimToOrder.recordValue(failover.firstOrderAt - failover.claimedAt);
+    endToOrder.recordValue(failover.firstOrderAt - endedAt);
+    if (failover.firstLaunchAt >= 0) {
+      endToLaunch.recordValue(failover.firstLaunchAt - endedAt);
+    }
+  }
+
+  long count() {
+    return endToLeaseExpiry.getTotalCount();
+  }
+
+  String table() {
+    return String.format(
+        Locale.ROOT,
+        "%s: %d failovers, %d without an order in time%n%s%s%s%s%s",
+        title,
+        count(),
+        withoutOrder,
+        line("end to the lease's end", endToLeaseExpiry),
+        line("lease's end to the claim", leaseExpiryToClaim),
+        line("claim to the first order", claimToOrder),
+        line("end to the first order", endToOrder),
+        line("end to the first launch", endToLaunch));
+  }
+
+  private static String line(String name, Histogram h) {
+    return String.format(
+        Locale.ROOT,
+        "  %-26s p50 %6d  p99 %6d  max %6d ms (%d)%n",
+        name,
+        h.getValueAtPercentile(50),
+        h.getValueAtPercentile(99),
+        h.getMaxValue(),
+        h.getTotalCount());
+  }
+}
--- a/src/test/java/org/baygw/control/sim/FailoverProbe.java
+++ b/src/test/java/org/baygw/control/sim/FailoverProbe.java
@@ -21,7 +21,7 @@
   /** Times of one role's latest change of owner, in ms; -1 where something has not come yet. */
   static final class Failover {
     final String formerOwner;
-    final long freedAt;
+    final long claimEndedAt;
 
     /** Workers of the partition when its claim ended; the leader's role has none. */
     final int workers;
@@ -30,42 +30,42 @@
     long firstOrderAt = -1;
     long firstLaunchAt = -1;
 
-    Failover(String formerOwner, long freedAt, int workers) {
+    Failover(String formerOwner, long claimEndedAt, int workers) {
       this.formerOwner = formerOwner;
       this.workers = workers;
-      this.freedAt = freedAt;
+      this.claimEndedAt = claimEndedAt;
     }
   }
 
-  private final SimulatedCluster world;
-  private final Map<String, String> owners = new HashMap<>();
-  private final Map<Long, String> claimants = new HashMap<>();
-  private final Map<Long, Set<String>> rolesOfEpoch = new HashMap<>();
+  private final SimulatedCluster cluster;
+  private final Map<String, String> ownersByRole = new HashMap<>();
+  private final Map<Long, String> claimantsByEpoch = new HashMap<>();
+  private final Map<Long, Set<String>> rolesByEpoch = new HashMap<>();
   final Map<String, Failover> latest = new TreeMap<>();
-  private final Map<String, List<Failover>> all = new TreeMap<>();
+  private final Map<String, List<Failover>> failoversByRole = new TreeMap<>();
 
-  FailoverProbe(SimulatedCluster world) {
-    this.world = world;
+  FailoverProbe(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
-  void claimed(String role, JsonNode claim, long stamp) {
-    owners.put(role, claim.path("owner").asText());
-    claimants.put(stamp, claim.path("owner").asText());
-    rolesOfEpoch.computeIfAbsent(stamp, k -> new HashSet<>()).add(role);
+  void claimed(String role, JsonNode claim, long epoch) {
+    ownersByRole.put(role, claim.path("owner").asText());
+    claimantsByEpoch.put(epoch, claim.path("owner").asText());
+    rolesByEpoch.computeIfAbsent(epoch, k -> new HashSet<>()).add(role);
     Failover failover = latest.get(role);
     if (failover != null && failover.claimedAt < 0) {
-      failover.claimedAt = world.now();
+      failover.claimedAt = cluster.now();
     }
   }
 
-  void freed(String role) {
+  void claimEnded(String role) {
     int workers = 0;
-    for (WorkerStub worker : world.workers.values()) {
-      workers += world.partitionOf(worker).equals(role) ? 1 : 0;
+    for (WorkerStub worker : cluster.workers.values()) {
+      workers += cluster.partitionOf(worker).equals(role) ? 1 : 0;
     }
-    Failover failover = new Failover(owners.remove(role), world.now(), workers);
+    Failover failover = new Failover(ownersByRole.remove(role), cluster.now(), workers);
     latest.put(role, failover);
-    all.computeIfAbsent(role, k -> new ArrayList<>()).add(failover);
+    failoversByRole.computeIfAbsent(role, k -> new ArrayList<>()).add(failover);
   }
 
   /** The leader under this epoch made a grant durable. */
@@ -73,8 +73,8 @@
     Failover failover = latest.get(LEADER);
     if (failover != null
         && failover.firstOrderAt < 0
-        && rolesOfEpoch.getOrDefault(epoch, Set.of()).contains(LEADER)) {
-      failover.firstOrderAt = world.now();
+        && rolesByEpoch.getOrDefault(epoch, Set.of()).contains(LEADER)) {
+      failover.firstOrderAt = cluster.now();
     }
   }
 
@@ -84,46 +84,46 @@
     long epoch = token >> Constants.TOKEN_BITS;
     if (failover == null
         || failover.claimedAt < 0
-        || !rolesOfEpoch.getOrDefault(epoch, Set.of()).contains(partition)) {
+        || !rolesByEpoch.getOrDefault(epoch, Set.of()).contains(partition)) {
       return;
     }
     if (failover.firstOrderAt < 0) {
-      failover.firstOrderAt = world.now();
+      failover.firstOrderAt = cluster.now();
     }
     if (launches && failover.firstLaunchAt < 0) {
-      failover.firstLaunchAt = world.now();
+      failover.firstLaunchAt = cluster.now();
     }
   }
 
   /** Who made the claims of an epoch; null where there were none. */
   String claimant(long epoch) {
-    return claimants.get(epoch);
+    return claimantsByEpoch.get(epoch);
   }
 
   /** Each role's first change of owner since then. */
   Map<String, Failover> firstSince(long since) {
     Map<String, Failover> found = new TreeMap<>();
-    all.forEach(
+    failoversByRole.forEach(
         (role, failovers) ->
             failovers.stream()
-                .filter(failover -> failover.freedAt >= since)
+                .filter(failover -> failover.claimEndedAt >= since)
                 .findFirst()
                 .ifPresent(failover -> found.put(role, failover)));
     return found;
   }
 
   /** When a claim of the controller last ended. */
-  long lastFreedOf(String label) {
-    return all.values().stream()
+  long lastClaimEndOf(String label) {
+    return failoversByRole.values().stream()
         .flatMap(List::stream)
         .filter(failover -> label.equals(failover.formerOwner))
-        .mapToLong(failover -> failover.freedAt)
+        .mapToLong(failover -> failover.claimEndedAt)
         .max()
         .orElse(Long.MIN_VALUE / 2);
   }
 
   /** Who holds a role, as the state service has it; null where nobody does. */
   String owner(String role) {
-    return owners.get(role);
+    return ownersByRole.get(role);
   }
 }
--- a/src/test/java/org/baygw/control/sim/InputsTest.java
+++ b/src/test/java/org/baygw/control/sim/InputsTest.java
@@ -22,21 +22,21 @@
           + "'yard':null,'together':false,'spread':false,'loaners':true,'guessS':1,"
           + "'stashEveryS':0,'stashS':0,'dueS':null}";
 
-  private SimulatedCluster world;
+  private SimulatedCluster cluster;
   private int status;
   private JsonNode body;
 
   @BeforeEach
   void start() {
-    world =
+    cluster =
         new SimulatedCluster(1, 1, List.of("a"), List.of(new Settings.Team("red", 8, 16, 0, 0)));
-    world.nodes.values().forEach(SimulatedCluster.Node::start);
-    world.runUntil(3_000);
+    cluster.nodes.values().forEach(SimulatedCluster.Node::start);
+    cluster.runUntil(3_000);
   }
 
   private void ask(int port, String method, String path, String text) {
     status = -9;
-    world.call(
+    cluster.call(
         "user",
         "yurt-0:" + port,
         method,
@@ -47,7 +47,7 @@
           status = s;
           body = Json.parse(b);
         });
-    world.runUntil(world.now() + 3_000);
+    cluster.runUntil(cluster.now() + 3_000);
   }
 
   @ParameterizedTest
@@ -78,7 +78,7 @@
           'yard':null        | 'yard':'z'           | 422 | no allowed machine type
           'accelerators':0   | 'accelerators':1     | 422 | no allowed machine type
           """)
-  void refusesSubmissionsByName(String from, String to, int expected, String why) {
+  void refusalNamesTheInvalidField(String from, String to, int expected, String why) {
     String job = JOB.replace('\'', '"');
     // The quotes of the table are read as plain text.
     String f = from.replace('\'', '"');
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void answersWhatIsNoRequestOfOurs() {
+  void answersInvalidRequests() {
     ask(8080, "POST", "/v1/jobs", "no json");
     assertEquals(400, status);
     ask(8080, "POST", "/v1/jobs", "[1]");
@@ -123,8 +123,8 @@
   }
 
   @Test
-  void overloadIsAnsweredAtOnceWithATimeToComeBack() {
-    world.state.outage(null, 20_000);
+  void refusesRequestsDuringAStateServiceOutage() {
+    cluster.state.outage(null, 20_000);
     ask(8080, "POST", "/v1/jobs", JOB);
     assertTrue(status == 503 || status == 429, String.valueOf(status));
     ask(8080, "GET", "/v1/jobs/run-1", "");
@@ -141,13 +141,13 @@
     ask(8081, "GET", "/admin/v1/params", "");
     assertEquals(2.5, body.path("mu").asDouble());
     assertEquals(10.0, body.path("alpha").asDouble());
-    assertNotNull(world.state.value("b/params"));
+    assertNotNull(cluster.state.value("b/params"));
   }
 
   @Test
   void operatorsSeeAndDrainMachines() {
     ask(8080, "POST", "/v1/jobs", JOB.replace("'array'", "'standing'").replace("true", "false"));
-    world.runUntil(world.now() + 20_000);
+    cluster.runUntil(cluster.now() + 20_000);
     ask(8081, "GET", "/admin/v1/machines", "");
     assertEquals(2, body.path("machines").size());
     String name = body.path("machines").path(0).path("name").asText();
@@ -155,7 +155,7 @@
     assertEquals(404, status);
     ask(8081, "POST", "/admin/v1/machines/" + name + "/drain", "");
     assertEquals(200, status);
-    world.runUntil(world.now() + 40_000);
+    cluster.runUntil(cluster.now() + 40_000);
     ask(8081, "GET", "/admin/v1/machines", "");
     assertEquals(2, body.path("machines").size());
     for (JsonNode m : body.path("machines")) {
@@ -169,9 +169,9 @@
   }
 
   @Test
-  void nonsenseInTheStateServiceIsSkipped() {
+  void skipsInvalidStateServiceEntries() {
     for (String key : List.of("b/job/x", "b/run/x", "b/prog/x/y", "b/params", "b/new/z")) {
-      world.call(
+      cluster.call(
           "user",
           SimulatedCluster.STATE,
           "POST",
@@ -181,7 +181,7 @@
           1_000,
           (s, b) -> assertEquals(200, s));
     }
-    world.runUntil(world.now() + 2_000);
+    cluster.runUntil(cluster.now() + 2_000);
     ask(8080, "POST", "/v1/jobs", JOB);
     assertEquals(201, status);
   }
--- a/src/test/java/org/baygw/control/sim/InvariantChecker.java
+++ b/src/test/java/org/baygw/control/sim/InvariantChecker.java
@@ -32,31 +32,31 @@
       boolean mistaken,
       long runMs) {}
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Map<String, Submitted> jobs = new HashMap<>();
-  private final TreeMap<String, Set<WorkerStub>> on = new TreeMap<>();
+  private final TreeMap<String, Set<WorkerStub>> machinesByTask = new TreeMap<>();
 
   /** Thousandths of a CPU that each team has in use, kept with each start and end. */
-  private final Map<String, Long> milliCpus = new HashMap<>();
+  private final Map<String, Long> milliCpusInUse = new HashMap<>();
 
   private final Map<String, Long> startedAt = new HashMap<>();
   private final Map<String, Long> progress = new HashMap<>();
   private final Set<String> done = new HashSet<>();
-  private final Map<String, String> told = new HashMap<>();
-  final Map<String, Long> cancelTold = new HashMap<>();
-  private final Set<String> cancelAsked = new HashSet<>();
-  final Map<String, Long> doneTold = new LinkedHashMap<>();
-  final Set<String> broken = new TreeSet<>();
+  private final Map<String, String> lastStatusTold = new HashMap<>();
+  final Map<String, Long> cancelledToldAt = new HashMap<>();
+  private final Set<String> cancelRequested = new HashSet<>();
+  final Map<String, Long> doneToldAt = new LinkedHashMap<>();
+  final Set<String> violations = new TreeSet<>();
   int starts;
 
   /** Jobs' first starts. */
-  final Map<String, Long> begun = new HashMap<>();
+  final Map<String, Long> firstStartedAt = new HashMap<>();
 
   /** When a question about a job was last answered, and when it was first accepted. */
   private final Map<String, Long> answeredAt = new HashMap<>();
 
-  InvariantChecker(SimulatedCluster world) {
-    this.world = world;
+  InvariantChecker(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   void submitted(Submitted s) {
@@ -71,13 +71,13 @@
     return done.contains(task);
   }
 
-  long left(String task) {
-    startedAt.put(task, world.now());
+  long remainingMs(String task) {
+    startedAt.put(task, cluster.now());
     return Math.max(1, job(task).runMs() - progress.getOrDefault(task, 0L));
   }
 
-  void saved(String task) {
-    progress.merge(task, world.now() - startedAt.getOrDefault(task, world.now()), Long::sum);
+  void checkpointSaved(String task) {
+    progress.merge(task, cluster.now() - startedAt.getOrDefault(task, cluster.now()), Long::sum);
   }
 
   void taskDone(String task) {
@@ -97,7 +97,7 @@
 
   /** Jobs of which a task is on a machine, in order. */
   List<String> running() {
-    return on.entrySet().stream()
+    return machinesByTask.entrySet().stream()
         .filter(e -> !e.getValue().isEmpty())
         .map(e -> job(e.getKey()).id())
         .distinct()
@@ -106,66 +106,66 @@
 
   Set<WorkerStub> machinesOf(String id) {
     Set<WorkerStub> found = new LinkedHashSet<>();
-    onOf(id).values().forEach(found::addAll);
+    machinesByTaskOf(id).values().forEach(found::addAll);
     return found;
   }
 
   int tasksOn(String id) {
-    int n = 0;
-    for (Set<WorkerStub> at : onOf(id).values()) {
-      n += at.size();
+    int count = 0;
+    for (Set<WorkerStub> machines : machinesByTaskOf(id).values()) {
+      count += machines.size();
     }
-    return n;
+    return count;
   }
 
   /** Where the job's tasks are: the character after the slash closes the range. */
-  private Map<String, Set<WorkerStub>> onOf(String id) {
-    return on.subMap(id + "/", id + "0");
+  private Map<String, Set<WorkerStub>> machinesByTaskOf(String id) {
+    return machinesByTask.subMap(id + "/", id + "0");
   }
 
-  String toldOf(String id) {
-    return told.get(id);
+  String lastStatusTold(String id) {
+    return lastStatusTold.get(id);
   }
 
   /** Once all troubles are over, a job about which nothing is answered for so long is forgotten. */
-  static final long FORGOTTEN_MS = 75_000;
+  static final long FORGOTTEN_AFTER_MS = 75_000;
 
   /**
    * Once all troubles are over, a job that has waited so long must not go on waiting while a
    * machine that fits has room and its team is under its limit.
    */
-  static final long WAIT_MS = 90_000;
+  static final long WAIT_LIMIT_MS = 90_000;
 
   /** How long there must have been that room without a break: a grant and a launch take seconds. */
-  private static final long ROOM_MS = 10_000;
+  private static final long CAPACITY_MS = 10_000;
 
   private static final long SAMPLE_MS = 1_000;
 
   /** Since when there has been room for jobs that wait. */
-  private final Map<String, Long> roomSince = new HashMap<>();
+  private final Map<String, Long> capacitySince = new HashMap<>();
 
   private final Map<String, Long> acceptedAt = new HashMap<>();
 
-  private boolean hasRoom(Submitted s) {
-    double used = milliCpus.getOrDefault(s.team(), 0L) / 1000.0;
-    for (Settings.Team t : world.teams) {
-      if (t.name().equals(s.team()) && used + s.cpus() > t.cpusMax()) {
+  private boolean hasCapacityFor(Submitted job) {
+    double used = milliCpusInUse.getOrDefault(job.team(), 0L) / 1000.0;
+    for (Settings.Team t : cluster.teams) {
+      if (t.name().equals(job.team()) && used + job.cpus() > t.cpusMax()) {
         return false;
       }
     }
-    return world.workers.values().stream()
+    return cluster.workers.values().stream()
         .anyMatch(
             w ->
-                w.freeCpus() >= s.cpus()
-                    && (!w.spot || s.spot())
-                    && (s.zone() == null || s.zone().equals(w.zone)));
+                w.freeCpus() >= job.cpus()
+                    && (!w.spot || job.spot())
+                    && (job.zone() == null || job.zone().equals(w.zone)));
   }
 
-  void over(long troublesEnd) {
+  void checkForgotten(long faultsEndAt) {
     answeredAt.forEach(
         (id, at) -> {
-          if (world.now() - Math.max(at, troublesEnd) > FORGOTTEN_MS) {
-            breaks("forgotten", id);
+          if (cluster.now() - Math.max(at, faultsEndAt) > FORGOTTEN_AFTER_MS) {
+            recordViolation("forgotten", id);
           }
         });
   }
@@ -174,97 +174,101 @@
    * Looks from now on whether jobs wait though they could run; to be called when the troubles are
    * over.
    */
-  void watchWaiting() {
-    sampleWaiting(world.now());
+  void watchWaitingJobs() {
+    sampleWaitingJobs(cluster.now());
   }
 
-  private void sampleWaiting(long troublesEnd) {
-    jobs.values().forEach(s -> noteRoom(s, troublesEnd));
-    world.after(SAMPLE_MS, () -> sampleWaiting(troublesEnd));
+  private void sampleWaitingJobs(long faultsEndAt) {
+    jobs.values().forEach(s -> checkWaiting(s, faultsEndAt));
+    cluster.after(SAMPLE_MS, () -> sampleWaitingJobs(faultsEndAt));
   }
 
-  private void noteRoom(Submitted s, long troublesEnd) {
-    Long accepted = acceptedAt.get(s.id());
-    boolean waits = accepted != null && !begun.containsKey(s.id()) && !cancelAsked.contains(s.id());
-    if (!waits || s.spread() || s.together() || !hasRoom(s)) {
-      roomSince.remove(s.id());
+  private void checkWaiting(Submitted job, long faultsEndAt) {
+    Long accepted = acceptedAt.get(job.id());
+    boolean waits =
+        accepted != null
+            && !firstStartedAt.containsKey(job.id())
+            && !cancelRequested.contains(job.id());
+    if (!waits || job.spread() || job.together() || !hasCapacityFor(job)) {
+      capacitySince.remove(job.id());
       return;
     }
-    long since = roomSince.computeIfAbsent(s.id(), k -> world.now());
-    if (world.now() - Math.max(accepted, troublesEnd) > WAIT_MS && world.now() - since >= ROOM_MS) {
-      breaks("waited", s.id());
+    long since = capacitySince.computeIfAbsent(job.id(), k -> cluster.now());
+    if (cluster.now() - Math.max(accepted, faultsEndAt) > WAIT_LIMIT_MS
+        && cluster.now() - since >= CAPACITY_MS) {
+      recordViolation("waited", job.id());
     }
   }
 
-  private void breaks(String rule, String what) {
-    broken.add(rule + ": " + what);
+  private void recordViolation(String rule, String what) {
+    violations.add(rule + ": " + what);
   }
 
-  void started(WorkerStub w, String task) {
+  void taskStarted(WorkerStub worker, String task) {
     starts++;
-    machinesUsed.add(w.name);
-    Submitted s = job(task);
-    begun.putIfAbsent(s.id(), world.now());
-    Set<WorkerStub> at = on.computeIfAbsent(task, k -> new LinkedHashSet<>());
-    if (!at.isEmpty()) {
-      breaks("ran_twice", task);
+    machinesUsed.add(worker.name);
+    Submitted job = job(task);
+    firstStartedAt.putIfAbsent(job.id(), cluster.now());
+    Set<WorkerStub> machines = machinesByTask.computeIfAbsent(task, k -> new LinkedHashSet<>());
+    if (!machines.isEmpty()) {
+      recordViolation("ran_twice", task);
     }
-    if (at.add(w)) {
-      milliCpus.merge(s.team(), Math.round(s.cpus() * 1000), Long::sum);
+    if (machines.add(worker)) {
+      milliCpusInUse.merge(job.team(), Math.round(job.cpus() * 1000), Long::sum);
     }
-    Long cancelled = cancelTold.get(s.id());
-    if (cancelled != null && world.now() > cancelled + world.cancelMs) {
-      breaks("ran_cancelled", task);
+    Long cancelled = cancelledToldAt.get(job.id());
+    if (cancelled != null && cluster.now() > cancelled + cluster.cancelMs) {
+      recordViolation("ran_cancelled", task);
     }
     int here = 0;
     int elsewhere = 0;
-    for (Set<WorkerStub> others : onOf(s.id()).values()) {
-      for (WorkerStub o : others) {
-        if (o.zone.equals(w.zone)) {
+    for (Set<WorkerStub> others : machinesByTaskOf(job.id()).values()) {
+      for (WorkerStub other : others) {
+        if (other.zone.equals(worker.zone)) {
           here++;
         } else {
           elsewhere++;
         }
       }
     }
-    if (w.spot && !s.spot()
-        || s.zone() != null && !s.zone().equals(w.zone)
-        || s.spread() && here > (s.tasks() + 1) / 2
-        || s.together() && elsewhere > 0) {
-      breaks("wrong_place", task);
+    if (worker.spot && !job.spot()
+        || job.zone() != null && !job.zone().equals(worker.zone)
+        || job.spread() && here > (job.tasks() + 1) / 2
+        || job.together() && elsewhere > 0) {
+      recordViolation("wrong_place", task);
     }
-    double used = milliCpus.get(s.team()) / 1000.0;
-    for (Settings.Team t : world.teams) {
-      if (t.name().equals(s.team()) && used > t.cpusMax() + 1e-6) {
-        breaks("quota", s.team());
+    double used = milliCpusInUse.get(job.team()) / 1000.0;
+    for (Settings.Team t : cluster.teams) {
+      if (t.name().equals(job.team()) && used > t.cpusMax() + 1e-6) {
+        recordViolation("quota", job.team());
       }
     }
   }
 
   /** Jobs of which a task that ran has left its machine. */
-  final Set<String> everLeft = new HashSet<>();
+  final Set<String> jobsWithStoppedTask = new HashSet<>();
 
   /** Machines on which a task has started. */
   final Set<String> machinesUsed = new HashSet<>();
 
-  void left(WorkerStub w, String task) {
-    everLeft.add(task.substring(0, task.lastIndexOf('/')));
-    Set<WorkerStub> at = on.get(task);
-    if (at != null && at.remove(w)) {
-      Submitted s = job(task);
-      milliCpus.merge(s.team(), -Math.round(s.cpus() * 1000), Long::sum);
+  void taskLeft(WorkerStub worker, String task) {
+    jobsWithStoppedTask.add(task.substring(0, task.lastIndexOf('/')));
+    Set<WorkerStub> machines = machinesByTask.get(task);
+    if (machines != null && machines.remove(worker)) {
+      Submitted job = job(task);
+      milliCpusInUse.merge(job.team(), -Math.round(job.cpus() * 1000), Long::sum);
     }
   }
 
   /** Tasks whose lease ended while their machine hung: for a cancellation they are still there. */
-  private final Map<WorkerStub, Set<String>> stuck = new HashMap<>();
+  private final Map<WorkerStub, Set<String>> jobsOnHungMachines = new HashMap<>();
 
-  void stuck(WorkerStub w, String task) {
-    stuck.computeIfAbsent(w, k -> new HashSet<>()).add(job(task).id());
+  void lostWhileHung(WorkerStub w, String task) {
+    jobsOnHungMachines.computeIfAbsent(w, k -> new HashSet<>()).add(job(task).id());
   }
 
-  void unstuck(WorkerStub w) {
-    stuck.remove(w);
+  void clearHung(WorkerStub w) {
+    jobsOnHungMachines.remove(w);
   }
 
   /** The highest epoch in which each worker has obeyed. */
@@ -276,79 +280,82 @@
    */
   void obeyed(String worker, long token, String from) {
     long epoch = token >> Constants.TOKEN_BITS;
-    String claimant = world.probe.claimant(epoch);
-    if (claimant == null || !from.equals(claimant) && !from.equals(ProcessCluster.ANY)) {
-      breaks("not_the_owner", worker + " obeyed " + from + " in epoch " + epoch);
+    String claimant = cluster.probe.claimant(epoch);
+    if (claimant == null || !from.equals(claimant) && !from.equals(ProcessCluster.ANY_CONTROLLER)) {
+      recordViolation("not_the_owner", worker + " obeyed " + from + " in epoch " + epoch);
     }
-    long before = obeyedEpochs.merge(worker, epoch, Math::max);
-    if (epoch < before) {
-      breaks("obeyed_old_epoch", worker + " obeyed epoch " + epoch + " after " + before);
+    long highestBefore = obeyedEpochs.merge(worker, epoch, Math::max);
+    if (epoch < highestBefore) {
+      recordViolation(
+          "obeyed_old_epoch", worker + " obeyed epoch " + epoch + " after " + highestBefore);
     }
   }
 
   /** The final states that users were told, by job: there may be one only. */
-  private final Map<String, Set<String>> finalAnswers = new HashMap<>();
+  private final Map<String, Set<String>> finalStatusesTold = new HashMap<>();
 
-  private void noteFinal(String id, String status) {
+  private void recordFinalStatus(String id, String status) {
     if (status.equals("done") || status.equals("cancelled")) {
-      Set<String> told = finalAnswers.computeIfAbsent(id, k -> new TreeSet<>());
-      told.add(status);
-      if (told.size() > 1) {
-        breaks("two_final_answers", id);
+      Set<String> statuses = finalStatusesTold.computeIfAbsent(id, k -> new TreeSet<>());
+      statuses.add(status);
+      if (statuses.size() > 1) {
+        recordViolation("two_final_answers", id);
       }
     }
   }
 
-  void abortAsked(String id) {
-    cancelAsked.add(id);
+  void abortRequested(String id) {
+    cancelRequested.add(id);
   }
 
   /**
    * What a user was told, and what had been told when the request was sent: an answer that was
    * under way at the same time as another may come after it.
    */
-  void answered(String id, int status, JsonNode body, String before) {
-    if (status == 404 && before != null) {
-      breaks("forgotten", id);
+  void answered(String id, int status, JsonNode body, String statusBefore) {
+    if (status == 404 && statusBefore != null) {
+      recordViolation("forgotten", id);
     }
-    if ((status == 400 || status == 422) && before != null) {
-      breaks("forgotten", id);
+    if ((status == 400 || status == 422) && statusBefore != null) {
+      recordViolation("forgotten", id);
     }
     if (status != 200 && status != 201) {
       return;
     }
     if (!jobs.containsKey(id)) {
-      breaks("invented", id);
+      recordViolation("invented", id);
       return;
     }
-    acceptedAt.putIfAbsent(id, world.now());
-    answeredAt.put(id, world.now());
-    String now = body.path("status").asText();
-    noteFinal(id, now);
-    boolean wasFinal = "done".equals(before) || "cancelled".equals(before);
-    if (wasFinal && !now.equals(before) || now.equals("cancelled") && !cancelAsked.contains(id)) {
-      breaks("went_back", id);
+    acceptedAt.putIfAbsent(id, cluster.now());
+    answeredAt.put(id, cluster.now());
+    String newStatus = body.path("status").asText();
+    recordFinalStatus(id, newStatus);
+    boolean wasFinal = "done".equals(statusBefore) || "cancelled".equals(statusBefore);
+    if (wasFinal && !newStatus.equals(statusBefore)
+        || newStatus.equals("cancelled") && !cancelRequested.contains(id)) {
+      recordViolation("went_back", id);
     }
-    if (now.equals("done")) {
-      doneTold.putIfAbsent(id, world.now());
+    if (newStatus.equals("done")) {
+      doneToldAt.putIfAbsent(id, cluster.now());
       for (int i = 0; i < jobs.get(id).tasks(); i++) {
         if (!done.contains(id + "/" + i)) {
-          breaks("not_done", id);
+          recordViolation("not_done", id);
         }
       }
     }
-    if (now.equals("cancelled") && cancelTold.putIfAbsent(id, world.now()) == null) {
-      world.after(
-          world.cancelMs,
+    if (newStatus.equals("cancelled") && cancelledToldAt.putIfAbsent(id, cluster.now()) == null) {
+      cluster.after(
+          cluster.cancelMs,
           () -> {
-            if (tasksOn(id) > 0 || stuck.values().stream().anyMatch(s -> s.contains(id))) {
-              breaks("ran_cancelled", id);
+            if (tasksOn(id) > 0
+                || jobsOnHungMachines.values().stream().anyMatch(s -> s.contains(id))) {
+              recordViolation("ran_cancelled", id);
             }
           });
     }
-    String last = told.get(id);
-    if (!"done".equals(last) && !"cancelled".equals(last)) {
-      told.put(id, now);
+    String lastTold = lastStatusTold.get(id);
+    if (!"done".equals(lastTold) && !"cancelled".equals(lastTold)) {
+      lastStatusTold.put(id, newStatus);
     }
   }
 }
--- a/src/test/java/org/baygw/control/sim/ManyRandomDays.java
+++ b/src/test/java/org/baygw/control/sim/ManyRandomDays.java
@@ -21,7 +21,7 @@
         .parallel()
         .forEach(
             seed -> {
-              List<String> found = Scenario.play(RandomFaultTest.standby(seed));
+              List<String> found = Scenario.play(RandomFaultTest.faultsWithStandby(seed));
               if (!found.isEmpty()) {
                 synchronized (failed) {
                   failed.add("day " + seed + ": " + found);
--- a/src/test/java/org/baygw/control/sim/ProcessCluster.java
+++ b/src/test/java/org/baygw/control/sim/ProcessCluster.java
@@ -34,15 +34,15 @@
  * service, the cloud, the workers and the users are the simulated cluster's stand-ins, reached over
  * HTTP and all run by one thread. Kills and pauses only processes that it has started itself.
  */
-final class ProcessCluster implements SimulatedCluster.Remote, AutoCloseable {
+final class ProcessCluster implements SimulatedCluster.RemoteControllers, AutoCloseable {
   /** Whoever sends orders to a worker: its address is the same for all controllers. */
-  static final String ANY = "any controller";
+  static final String ANY_CONTROLLER = "any controller";
 
   private static final Duration TIMEOUT = Duration.ofSeconds(6);
-  private static final long LONGEST_WAIT_MS = 20;
+  private static final long MAX_WAIT_MS = 20;
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final List<String> command;
   private final Path logs;
   private final ExecutorService threads = Executors.newCachedThreadPool();
@@ -61,7 +61,7 @@
   /** Ports of each controller: for users and workers, and for its siblings. */
   private final Map<String, int[]> ports = new HashMap<>();
 
-  private final long begunAt = System.nanoTime();
+  private final long startNanos = System.nanoTime();
 
   /**
    * Prepares the processes of a scenario's controllers.
@@ -69,22 +69,22 @@
    * @param command the command line up to the settings file
    * @param logs a directory for settings and logs
    */
-  ProcessCluster(SimulatedCluster world, List<String> command, Path logs) throws IOException {
-    this.world = world;
+  ProcessCluster(SimulatedCluster cluster, List<String> command, Path logs) throws IOException {
+    this.cluster = cluster;
     this.command = command;
     this.logs = logs;
     String cloud = address(listen("cloud", "cloud"));
     Set<Integer> taken = new HashSet<>();
-    for (String label : world.labels) {
+    for (String label : cluster.labels) {
       ports.put(label, new int[] {freePort(taken), freePort(taken)});
     }
-    for (SimulatedCluster.Node node : world.nodes.values()) {
+    for (SimulatedCluster.Node node : cluster.nodes.values()) {
       String state = address(listen(node.label, "state"));
       Path config = logs.resolve(node.label + ".toml");
-      Files.writeString(config, toml(world.settingsOf(node), cloud, state));
+      Files.writeString(config, toml(cluster.settingsOf(node), cloud, state));
       configs.put(node.label, config);
     }
-    world.remote = this;
+    cluster.remote = this;
   }
 
   private static String address(HttpServer server) {
@@ -117,7 +117,7 @@
     String path = exchange.getRequestURI().toString();
     inbox.add(
         () ->
-            world.receive(
+            cluster.receive(
                 from,
                 to,
                 method,
@@ -150,7 +150,7 @@
     }
     text.append("[external]\ncloud = \"").append(cloud).append("\"\n");
     text.append("state = \"").append(state).append("\"\n");
-    text.append("[settings]\ninitial_size = ").append(world.labels.size()).append("\n");
+    text.append("[settings]\ninitial_size = ").append(cluster.labels.size()).append("\n");
     text.append("zones = [\"").append(String.join("\", \"", settings.zones())).append("\"]\n");
     text.append("time_bound_ms = ").append(settings.timeBoundMs()).append("\n");
     for (Settings.Team team : settings.teams()) {
@@ -176,11 +176,11 @@
   /** Runs the world in real time until then. */
   void runUntil(long endMs) throws InterruptedException {
     while (elapsedMs() < endMs) {
-      world.runUntil(elapsedMs());
-      long wait = Math.min(LONGEST_WAIT_MS, world.nextEvent() - elapsedMs());
+      cluster.runUntil(elapsedMs());
+      long wait = Math.min(MAX_WAIT_MS, cluster.nextEventAt() - elapsedMs());
       Runnable input = inbox.poll(Math.max(0, wait), TimeUnit.MILLISECONDS);
       while (input != null) {
-        world.runUntil(elapsedMs());
+        cluster.runUntil(elapsedMs());
         input.run();
         input = inbox.poll();
       }
@@ -188,7 +188,7 @@
   }
 
   private long elapsedMs() {
-    return (System.nanoTime() - begunAt) / 1_000_000;
+    return (System.nanoTime() - startNanos) / 1_000_000;
   }
 
   @Override
@@ -222,7 +222,7 @@
     Process process = processes.get(label);
     if (process != null && process.isAlive()) {
       signal("-STOP", process);
-      world.after(forMs, () -> signal("-CONT", process));
+      cluster.after(forMs, () -> signal("-CONT", process));
     }
   }
 
@@ -248,7 +248,7 @@
   }
 
   @Override
-  public boolean lives(String label) {
+  public boolean isAlive(String label) {
     Process process = processes.get(label);
     return process != null && process.isAlive();
   }
@@ -260,7 +260,7 @@
       String method,
       String path,
       byte[] body,
-      StateServiceStub.Respond respond) {
+      StateServiceStub.ResponseCallback respond) {
     HttpRequest request =
         HttpRequest.newBuilder(
                 URI.create("http://127.0.0.1:" + ports.get(label)[peer ? 1 : 0] + path))
@@ -305,7 +305,7 @@
         worker,
         name -> {
           try {
-            return address(listen(ANY, name));
+            return address(listen(ANY_CONTROLLER, name));
           } catch (IOException e) {
             throw new UncheckedIOException(e);
           }
--- a/src/test/java/org/baygw/control/sim/ProcessDays.java
+++ b/src/test/java/org/baygw/control/sim/ProcessScenarios.java
@@ -10,14 +10,14 @@
 import java.util.Random;
 
 /** Days on loopback with processes that are killed, paused and ended at random, from a seed. */
-final class ProcessDays {
+final class ProcessScenarios {
   private static final Path DEPLOY = Path.of("deploy/service.toml");
   private static final String FEATURES = "--features";
 
   /** One controller's end that is measured, for each so many s: it is back and settled by then. */
   private static final double KILL_PERIOD_S = 18;
 
-  private ProcessDays() {}
+  private ProcessScenarios() {}
 
   /** The command line that is deployed, with the features file or without it. */
   static List<String> command(boolean standby) throws IOException {
@@ -102,23 +102,23 @@
   static List<String> play(Scenario scenario, List<String> command, Path logs)
       throws IOException, InterruptedException {
     Files.createDirectories(logs);
-    scenario.setUpWorld();
-    try (ProcessCluster cluster = new ProcessCluster(scenario.world(), command, logs)) {
-      scenario.begin();
-      cluster.runUntil(scenario.end());
+    scenario.setUpCluster();
+    try (ProcessCluster cluster = new ProcessCluster(scenario.cluster(), command, logs)) {
+      scenario.start();
+      cluster.runUntil(scenario.endMs());
     }
-    return scenario.judge();
+    return scenario.evaluate();
   }
 
   /** Adds the failovers that followed each kill. */
-  static void measure(SimulatedCluster world, FailoverParts leader, FailoverParts partitions) {
-    for (long killedAt : world.crashes) {
+  static void measure(SimulatedCluster cluster, FailoverPhases leader, FailoverPhases partitions) {
+    for (long killedAt : cluster.leaderCrashTimes) {
       for (Map.Entry<String, FailoverProbe.Failover> entry :
-          world.probe.firstSince(killedAt).entrySet()) {
+          cluster.probe.firstSince(killedAt).entrySet()) {
         FailoverProbe.Failover failover = entry.getValue();
         boolean leads = entry.getKey().equals(FailoverProbe.LEADER);
-        boolean soon = failover.freedAt - killedAt < KILL_PERIOD_S * 500;
-        if (soon && (leads || failover.workers > 0)) {
+        boolean withinPeriod = failover.claimEndedAt - killedAt < KILL_PERIOD_S * 500;
+        if (withinPeriod && (leads || failover.workers > 0)) {
           (leads ? leader : partitions).add(failover, killedAt);
         }
       }
--- a/src/test/java/org/baygw/control/sim/ProcessesIT.java
+++ b/src/test/java/org/baygw/control/sim/ProcessesIT.java
@@ -24,7 +24,10 @@
 
   private Scenario play(String day, boolean standby) throws Exception {
     Scenario scenario = Scenario.prepare(day);
-    assertEquals(List.of(), ProcessDays.play(scenario, ProcessDays.command(standby), logs), logs());
+    assertEquals(
+        List.of(),
+        ProcessScenarios.play(scenario, ProcessScenarios.command(standby), logs),
+        logs());
     return scenario;
   }
 
@@ -43,8 +46,8 @@
 
   @Test
   void keepsTheRulesThroughKillsPausesAndHandovers() throws Exception {
-    Scenario scenario = play(ProcessDays.random(1, SECONDS), true);
-    Map<String, Long> done = scenario.world().checker.doneTold;
+    Scenario scenario = play(ProcessScenarios.random(1, SECONDS), true);
+    Map<String, Long> done = scenario.cluster().checker.doneToldAt;
     assertTrue(done.size() > 30, "only " + done.size() + " jobs are done");
     String log = logs();
     assertTrue(log.contains("RoleTable - role"), log);
@@ -52,13 +55,13 @@
   }
 
   @Test
-  void whereStandbyIsOffNoneOfItsClassesIsLoaded() throws Exception {
-    List<String> command = new ArrayList<>(ProcessDays.command(false));
+  void loadsNoStandbyClassesWhenStandbyIsOff() throws Exception {
+    List<String> command = new ArrayList<>(ProcessScenarios.command(false));
     command.add(1, "-Xlog:class+load:stderr");
     Scenario scenario =
         Scenario.prepare(
             "machines count=3\nat 3 submit run-1 tasks=2 run=2\nat 9 crash-leader for 1\nrun 22");
-    assertEquals(List.of(), ProcessDays.play(scenario, command, logs));
+    assertEquals(List.of(), ProcessScenarios.play(scenario, command, logs));
     for (String label : List.of("yurt-0", "yurt-1", "yurt-2")) {
       String log = Files.readString(logs.resolve(label + ".log"));
       assertTrue(log.contains("org.baygw.control.Controller "), label);
--- a/src/test/java/org/baygw/control/sim/RandomFaultTest.java
+++ b/src/test/java/org/baygw/control/sim/RandomFaultTest.java
@@ -11,18 +11,23 @@
 /** Days of random jobs and faults, each from its seed: no rule may break, whatever else happens. */
 final class RandomFaultTest {
   private static final String[] CONTROLLERS = {"yurt-0", "yurt-1", "yurt-2"};
-  private static final int DAYS_PER_TEST = 12;
+  private static final int SEEDS_PER_TEST = 12;
 
   private static StringBuilder setUp(long seed, int capacity) {
-    StringBuilder b = new StringBuilder("zones a b\n");
-    b.append("seed ").append(seed).append("\nset boot=6 capacity=").append(capacity).append("\n");
-    b.append("team red cpus=24 max=48\nteam blue cpus=16 max=32\n");
-    return b.append("machines zone=a count=3\nmachines zone=b count=2\nmachines zone=a spot\n");
+    StringBuilder lines = new StringBuilder("zones a b\n");
+    lines
+        .append("seed ")
+        .append(seed)
+        .append("\nset boot=6 capacity=")
+        .append(capacity)
+        .append("\n");
+    lines.append("team red cpus=24 max=48\nteam blue cpus=16 max=32\n");
+    return lines.append("machines zone=a count=3\nmachines zone=b count=2\nmachines zone=a spot\n");
   }
 
   /** A job's submission; one in so many is called off within so many seconds. */
   private static String submission(
-      Random r, double at, int i, String kind, int oneIn, double within) {
+      Random random, double at, int i, String kind, int oneIn, double within) {
     String line =
         String.format(
             Locale.ROOT,
@@ -30,156 +35,171 @@
             at,
             i,
             kind,
-            r.nextInt(3),
-            r.nextBoolean() ? "red" : "blue");
-    return r.nextInt(oneIn) == 0
+            random.nextInt(3),
+            random.nextBoolean() ? "red" : "blue");
+    return random.nextInt(oneIn) == 0
         ? line
-            + String.format(Locale.ROOT, "at %.2f abort run-%d%n", at + r.nextDouble() * within, i)
+            + String.format(
+                Locale.ROOT, "at %.2f abort run-%d%n", at + random.nextDouble() * within, i)
         : line;
   }
 
-  private static String day(long seed) {
-    Random r = new Random(seed);
-    StringBuilder b = setUp(seed, 9);
+  private static String independentFaults(long seed) {
+    Random random = new Random(seed);
+    StringBuilder lines = setUp(seed, 9);
     for (int i = 0; i < 22; i++) {
-      double at = 1 + r.nextDouble() * 75;
+      double at = 1 + random.nextDouble() * 75;
       String kind =
-          switch (r.nextInt(5)) {
-            case 0 -> "service tasks=" + (1 + r.nextInt(4)) + (r.nextBoolean() ? " spread" : "");
-            case 1 -> "tasks=" + (1 + r.nextInt(8)) + " saves spot rank=best_effort run=12";
-            case 2 -> "tasks=" + (1 + r.nextInt(6)) + " together run=4";
-            default -> "tasks=" + (1 + r.nextInt(12)) + " spot cpus=2 run=" + (1 + r.nextInt(9));
+          switch (random.nextInt(5)) {
+            case 0 ->
+                "service tasks="
+                    + (1 + random.nextInt(4))
+                    + (random.nextBoolean() ? " spread" : "");
+            case 1 -> "tasks=" + (1 + random.nextInt(8)) + " saves spot rank=best_effort run=12";
+            case 2 -> "tasks=" + (1 + random.nextInt(6)) + " together run=4";
+            default ->
+                "tasks=" + (1 + random.nextInt(12)) + " spot cpus=2 run=" + (1 + random.nextInt(9));
           };
-      b.append(submission(r, at, i, kind, 3, 20));
+      lines.append(submission(random, at, i, kind, 3, 20));
     }
     for (int i = 0; i < 26; i++) {
-      double at = 2 + r.nextDouble() * 75;
-      double span = 0.3 + r.nextDouble() * (r.nextInt(3) == 0 ? 25 : 6);
-      String c = CONTROLLERS[r.nextInt(3)];
-      String m = "n-00000" + (1 + r.nextInt(6));
+      double at = 2 + random.nextDouble() * 75;
+      double span = 0.3 + random.nextDouble() * (random.nextInt(3) == 0 ? 25 : 6);
+      String controller = CONTROLLERS[random.nextInt(3)];
+      String machine = "n-00000" + (1 + random.nextInt(6));
       String[] kinds = {"hold", "drop", "lose_answers"};
-      String k = kinds[r.nextInt(3)];
+      String cutKind = kinds[random.nextInt(3)];
       String fault =
-          switch (r.nextInt(20)) {
-            case 0 -> "crash " + c;
+          switch (random.nextInt(20)) {
+            case 0 -> "crash " + controller;
             case 1 -> "crash all";
             case 2 -> "crash-leader";
-            case 3 -> "state-outage only " + c;
-            case 4 -> "cut " + c + " state " + k;
-            case 5 -> "cut " + c + " workers " + k;
-            case 6 -> "cut controllers " + m + " hold";
-            case 7 -> "cut workers " + c + " " + k;
+            case 3 -> "state-outage only " + controller;
+            case 4 -> "cut " + controller + " state " + cutKind;
+            case 5 -> "cut " + controller + " workers " + cutKind;
+            case 6 -> "cut controllers " + machine + " hold";
+            case 7 -> "cut workers " + controller + " " + cutKind;
             case 8 -> "cloud-outage";
-            case 9, 10, 11 -> "cut " + c + " state " + k;
-            case 12, 13, 14 -> "cut controllers " + m + " hold";
-            case 15 -> "cut controllers " + m + " drop";
-            case 16 -> "copies workers late " + (1 + r.nextInt(30));
-            case 17 -> "crash " + c + " for 0.2\nat " + (at + 0.4) + " crash-leader";
-            case 18 -> "crash all for 0.1\nat " + (at + 0.25) + " crash " + c;
-            default -> "cut " + c + " cloud " + k;
+            case 9, 10, 11 -> "cut " + controller + " state " + cutKind;
+            case 12, 13, 14 -> "cut controllers " + machine + " hold";
+            case 15 -> "cut controllers " + machine + " drop";
+            case 16 -> "copies workers late " + (1 + random.nextInt(30));
+            case 17 -> "crash " + controller + " for 0.2\nat " + (at + 0.4) + " crash-leader";
+            case 18 -> "crash all for 0.1\nat " + (at + 0.25) + " crash " + controller;
+            default -> "cut " + controller + " cloud " + cutKind;
           };
-      b.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, fault, span));
+      lines.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, fault, span));
     }
-    return b.append("run 170\n").toString();
+    return lines.append("run 170\n").toString();
   }
 
   /**
    * Days on which the operators' troubles meet: two or three at about the same moment, six times.
    */
-  static String meetings(long seed) {
-    Random r = new Random(seed);
-    StringBuilder b = setUp(seed, 10);
+  static String overlappingFaults(long seed) {
+    Random random = new Random(seed);
+    StringBuilder lines = setUp(seed, 10);
     for (int i = 0; i < 26; i++) {
-      double at = 1 + r.nextDouble() * 100;
+      double at = 1 + random.nextDouble() * 100;
       String kind =
-          switch (r.nextInt(6)) {
-            case 0 -> "service tasks=" + (1 + r.nextInt(4)) + (r.nextBoolean() ? " spread" : "");
-            case 1 -> "tasks=" + (1 + r.nextInt(6)) + " saves spot rank=best_effort run=25";
-            case 2 -> "tasks=" + (1 + r.nextInt(6)) + " together run=14";
+          switch (random.nextInt(6)) {
+            case 0 ->
+                "service tasks="
+                    + (1 + random.nextInt(4))
+                    + (random.nextBoolean() ? " spread" : "");
+            case 1 -> "tasks=" + (1 + random.nextInt(6)) + " saves spot rank=best_effort run=25";
+            case 2 -> "tasks=" + (1 + random.nextInt(6)) + " together run=14";
             case 3 ->
                 "tasks="
-                    + (1 + r.nextInt(3))
+                    + (1 + random.nextInt(3))
                     + " zone="
-                    + (r.nextBoolean() ? "a" : "b")
+                    + (random.nextBoolean() ? "a" : "b")
                     + " run=30";
-            case 4 -> "tasks=2 run=" + (1 + r.nextInt(60));
-            default -> "tasks=" + (1 + r.nextInt(10)) + " spot cpus=2 run=" + (1 + r.nextInt(20));
+            case 4 -> "tasks=2 run=" + (1 + random.nextInt(60));
+            default ->
+                "tasks="
+                    + (1 + random.nextInt(10))
+                    + " spot cpus=2 run="
+                    + (1 + random.nextInt(20));
           };
-      b.append(submission(r, at, i, kind, 4, 40));
+      lines.append(submission(random, at, i, kind, 4, 40));
     }
     for (int i = 0; i < 6; i++) {
-      double start = 8 + r.nextDouble() * 90;
-      for (int k = 2 + r.nextInt(2); k > 0; k--) {
-        double at = start + r.nextDouble() * 3;
-        double span = 0.3 + r.nextDouble() * (r.nextInt(3) == 0 ? 45 : 15);
-        String c = CONTROLLERS[r.nextInt(3)];
-        String m = "n-00000" + (1 + r.nextInt(8));
+      double start = 8 + random.nextDouble() * 90;
+      for (int k = 2 + random.nextInt(2); k > 0; k--) {
+        double at = start + random.nextDouble() * 3;
+        double span = 0.3 + random.nextDouble() * (random.nextInt(3) == 0 ? 45 : 15);
+        String controller = CONTROLLERS[random.nextInt(3)];
+        String machine = "n-00000" + (1 + random.nextInt(8));
         String fault =
-            switch (r.nextInt(17)) {
+            switch (random.nextInt(17)) {
               case 0 -> "late-writes share 0.3";
               case 1 -> "copies workers late 0";
-              case 2 -> "cut controllers " + m + " drop";
-              case 3 -> "apart " + c;
-              case 4 -> "cancel-now count=3 hang " + (r.nextInt(3) * 20);
+              case 2 -> "cut controllers " + machine + " drop";
+              case 3 -> "apart " + controller;
+              case 4 -> "cancel-now count=3 hang " + (random.nextInt(3) * 20);
               case 5 -> "cancel-at-end share 0.5";
-              case 6 -> "mute " + m;
+              case 6 -> "mute " + machine;
               case 7 -> "odd-requests";
               case 8, 9 -> "state-outage";
-              case 10, 11 -> "state-outage only " + c;
+              case 10, 11 -> "state-outage only " + controller;
               case 12 -> "crash-leader";
-              case 13 -> "crash " + c + " for 0.2\nat " + (at + 0.4) + " crash-leader";
+              case 13 -> "crash " + controller + " for 0.2\nat " + (at + 0.4) + " crash-leader";
               // Longer than a lease; with nobody there nothing can be had of machines that hang.
-              case 14 -> "crash all for " + (1 + r.nextInt(14)) + "\nat " + at + " odd-requests";
-              case 15 -> "cut-zone-workers " + (r.nextBoolean() ? "a" : "b");
-              default -> "cut controllers " + m + " hold";
+              case 14 ->
+                  "crash all for " + (1 + random.nextInt(14)) + "\nat " + at + " odd-requests";
+              case 15 -> "cut-zone-workers " + (random.nextBoolean() ? "a" : "b");
+              default -> "cut controllers " + machine + " hold";
             };
-        b.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, fault, span));
+        lines.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, fault, span));
       }
     }
-    return b.append("run 260\n").toString();
+    return lines.append("run 260\n").toString();
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void keepsTheRulesWhenTroublesMeet(long first) {
-    for (long seed = first * 1000; seed < first * 1000 + DAYS_PER_TEST; seed++) {
-      assertEquals(List.of(), Scenario.play(meetings(seed)), "day " + seed);
+  void keepsTheRulesUnderOverlappingFaults(long first) {
+    for (long seed = first * 1000; seed < first * 1000 + SEEDS_PER_TEST; seed++) {
+      assertEquals(List.of(), Scenario.play(overlappingFaults(seed)), "day " + seed);
     }
   }
 
   /** The same with controllers that stand still for seconds, the leader oftener than others. */
-  static String freezes(long seed) {
-    Random r = new Random(seed);
-    StringBuilder b = new StringBuilder();
+  static String overlappingFaultsWithFreezes(long seed) {
+    Random random = new Random(seed);
+    StringBuilder lines = new StringBuilder();
     for (int i = 0; i < 6; i++) {
-      double at = 8 + r.nextDouble() * 95;
-      String act = r.nextInt(3) == 0 ? "freeze " + CONTROLLERS[r.nextInt(3)] : "freeze-leader";
-      double span = r.nextBoolean() ? 1 + r.nextDouble() * 8 : 8 + r.nextDouble() * 30;
-      b.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, act, span));
+      double at = 8 + random.nextDouble() * 95;
+      String act =
+          random.nextInt(3) == 0 ? "freeze " + CONTROLLERS[random.nextInt(3)] : "freeze-leader";
+      double span =
+          random.nextBoolean() ? 1 + random.nextDouble() * 8 : 8 + random.nextDouble() * 30;
+      lines.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, act, span));
     }
-    return meetings(seed) + b;
+    return overlappingFaults(seed) + lines;
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void keepsTheRulesWhenControllersFreeze(long first) {
-    for (long seed = first * 1000; seed < first * 1000 + DAYS_PER_TEST; seed++) {
-      assertEquals(List.of(), Scenario.play(freezes(seed)), "day " + seed);
+    for (long seed = first * 1000; seed < first * 1000 + SEEDS_PER_TEST; seed++) {
+      assertEquals(List.of(), Scenario.play(overlappingFaultsWithFreezes(seed)), "day " + seed);
     }
   }
 
   /** Days of freezes and meeting troubles with warm standby on, and with what is new with it. */
-  static String standby(long seed) {
-    Random r = new Random(seed);
-    StringBuilder b =
-        new StringBuilder(r.nextBoolean() ? "set standby=on\n" : "set standby-kept=16\n");
+  static String faultsWithStandby(long seed) {
+    Random random = new Random(seed);
+    StringBuilder lines =
+        new StringBuilder(random.nextBoolean() ? "set standby=on\n" : "set standby-kept=16\n");
     for (int i = 0; i < 9; i++) {
-      double at = 8 + r.nextDouble() * 95;
-      double span = 0.2 + r.nextDouble() * (r.nextInt(3) == 0 ? 25 : 8);
-      String one = CONTROLLERS[r.nextInt(3)];
-      String other = CONTROLLERS[r.nextInt(3)];
+      double at = 8 + random.nextDouble() * 95;
+      double span = 0.2 + random.nextDouble() * (random.nextInt(3) == 0 ? 25 : 8);
+      String one = CONTROLLERS[random.nextInt(3)];
+      String other = CONTROLLERS[random.nextInt(3)];
       String act =
-          switch (r.nextInt(9)) {
+          switch (random.nextInt(9)) {
             case 0 -> "terminate " + one;
             case 1 -> "terminate leader";
             case 2, 3 -> "handover " + one;
@@ -188,31 +208,31 @@
             case 7 -> "cut " + one + " " + other + " drop";
             default -> "cut controllers " + one + " lose_answers";
           };
-      b.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, act, span));
+      lines.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, act, span));
     }
-    return freezes(seed) + b;
+    return overlappingFaultsWithFreezes(seed) + lines;
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void keepsTheRulesWithStandby(long first) {
-    for (long seed = first * 1000; seed < first * 1000 + DAYS_PER_TEST; seed++) {
-      assertEquals(List.of(), Scenario.play(standby(seed)), "day " + seed);
+    for (long seed = first * 1000; seed < first * 1000 + SEEDS_PER_TEST; seed++) {
+      assertEquals(List.of(), Scenario.play(faultsWithStandby(seed)), "day " + seed);
     }
   }
 
   /** Days that broke a rule once: what was wrong on each stands in docs/SAFETY.md. */
   @ParameterizedTest
   @ValueSource(longs = {272, 547, 569, 661, 687, 756})
-  void keepsTheRulesOnDaysThatBrokeThem(long seed) {
-    assertEquals(List.of(), Scenario.play(meetings(seed)));
+  void keepsTheRulesOnFormerlyFailingSeeds(long seed) {
+    assertEquals(List.of(), Scenario.play(overlappingFaults(seed)));
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void keepsTheRules(long first) {
-    for (long seed = first * 1000; seed < first * 1000 + DAYS_PER_TEST; seed++) {
-      assertEquals(List.of(), Scenario.play(day(seed)), "day " + seed);
+  void keepsTheRulesUnderIndependentFaults(long first) {
+    for (long seed = first * 1000; seed < first * 1000 + SEEDS_PER_TEST; seed++) {
+      assertEquals(List.of(), Scenario.play(independentFaults(seed)), "day " + seed);
     }
   }
 }
--- a/src/test/java/org/baygw/control/sim/Scenario.java
+++ b/src/test/java/org/baygw/control/sim/Scenario.java
@@ -8,7 +8,7 @@
 
 /** Plays one scenario file; docs/TESTING.md describes its lines. */
 final class Scenario {
-  private static final Features FEATURES = new Features(Features.Standby.DEFAULTS);
+  private static final Features STANDBY_FEATURES = new Features(Features.Standby.DEFAULTS);
 
   private final List<String> failures = new ArrayList<>();
   private final List<String[]> setUp = new ArrayList<>();
@@ -17,122 +17,123 @@
   private List<String> zones = List.of("a");
   private int controllers = 3;
   private long seed = 1;
-  private long end = 60_000;
-  private SimulatedCluster world;
+  private long endMs = 60_000;
+  private SimulatedCluster cluster;
   private ScenarioActions actions;
 
-  private long troublesEnd;
+  private long faultsEndAt;
 
   /** Warm standby that keeps so few decisions for one that lags. */
-  private static Features keeping(int decisions) {
-    Features.Standby usual = Features.Standby.DEFAULTS;
+  private static Features standbyKeeping(int decisions) {
+    Features.Standby defaults = Features.Standby.DEFAULTS;
     return new Features(
-        new Features.Standby(usual.batchMs(), usual.heartbeatMs(), usual.suspectMs(), decisions));
+        new Features.Standby(
+            defaults.batchMs(), defaults.heartbeatMs(), defaults.suspectMs(), decisions));
   }
 
   /** Plays the text and returns what was not as expected. */
   static List<String> play(String text) {
-    return prepare(text).playOut();
+    return prepare(text).runToEnd();
   }
 
   /** Reads a scenario, to be played out later. */
   static Scenario prepare(String text) {
-    Scenario s = new Scenario();
+    Scenario scenario = new Scenario();
     for (String line : text.split("\n")) {
-      String l = line.strip();
-      if (!l.isEmpty() && !l.startsWith("#")) {
-        s.read(l.split("\\s+"));
+      String stripped = line.strip();
+      if (!stripped.isEmpty() && !stripped.startsWith("#")) {
+        scenario.parseLine(stripped.split("\\s+"));
       }
     }
-    return s;
+    return scenario;
   }
 
   /** Plays it and returns what was not as expected. */
-  List<String> playOut() {
+  List<String> runToEnd() {
     run();
     return failures;
   }
 
   /** The cluster that it was played in. */
-  SimulatedCluster world() {
-    return world;
+  SimulatedCluster cluster() {
+    return cluster;
   }
 
-  private void read(String[] w) {
-    switch (w[0]) {
-      case "seed" -> seed = Long.parseLong(w[1]);
-      case "controllers" -> controllers = Integer.parseInt(w[1]);
-      case "zones" -> zones = List.of(w).subList(1, w.length);
+  private void parseLine(String[] words) {
+    switch (words[0]) {
+      case "seed" -> seed = Long.parseLong(words[1]);
+      case "controllers" -> controllers = Integer.parseInt(words[1]);
+      case "zones" -> zones = List.of(words).subList(1, words.length);
       case "team" -> {
-        Map<String, String> o = ScenarioWords.options(w, 2);
+        Map<String, String> options = ScenarioWords.options(words, 2);
         teams.add(
             Settings.Team.of(
-                w[1],
-                Double.parseDouble(o.getOrDefault("cpus", "0")),
-                Double.parseDouble(o.getOrDefault("max", "0")),
+                words[1],
+                Double.parseDouble(options.getOrDefault("cpus", "0")),
+                Double.parseDouble(options.getOrDefault("max", "0")),
                 0,
                 0));
       }
-      case "run" -> end = ScenarioWords.seconds(w[1]);
-      case "expect" -> expectations.add(w);
-      case "machines", "at", "set" -> setUp.add(w);
-      default -> throw new IllegalArgumentException("no such line: " + String.join(" ", w));
+      case "run" -> endMs = ScenarioWords.seconds(words[1]);
+      case "expect" -> expectations.add(words);
+      case "machines", "at", "set" -> setUp.add(words);
+      default -> throw new IllegalArgumentException("no such line: " + String.join(" ", words));
     }
   }
 
   private void run() {
-    setUpWorld();
-    begin();
-    world.runUntil(end);
-    judge();
+    setUpCluster();
+    start();
+    cluster.runUntil(endMs);
+    evaluate();
   }
 
   /** Makes the cluster and schedules what happens in it. */
-  void setUpWorld() {
+  void setUpCluster() {
     if (teams.isEmpty()) {
       teams.add(new Settings.Team("red", 64, 256, 0, 0));
     }
-    world = new SimulatedCluster(seed, controllers, zones, teams);
-    actions = new ScenarioActions(world, new ScenarioUsers(world, failures), failures);
-    for (String[] w : setUp) {
-      switch (w[0]) {
+    cluster = new SimulatedCluster(seed, controllers, zones, teams);
+    actions = new ScenarioActions(cluster, new ScenarioUsers(cluster, failures), failures);
+    for (String[] words : setUp) {
+      switch (words[0]) {
         case "machines" -> {
-          Map<String, String> o = ScenarioWords.options(w, 1);
-          for (int i = 0; i < Integer.parseInt(o.getOrDefault("count", "1")); i++) {
-            world.cloud.add(o.getOrDefault("zone", "a"), o.containsKey("spot"), 0);
+          Map<String, String> options = ScenarioWords.options(words, 1);
+          for (int i = 0; i < Integer.parseInt(options.getOrDefault("count", "1")); i++) {
+            cluster.cloud.add(options.getOrDefault("zone", "a"), options.containsKey("spot"), 0);
           }
         }
         case "set" -> {
-          Map<String, String> o = ScenarioWords.options(w, 1);
-          o.forEach(
+          Map<String, String> options = ScenarioWords.options(words, 1);
+          options.forEach(
               (k, v) -> {
                 switch (k) {
-                  case "slow-boots" -> world.cloud.nextBootSlowly(Integer.parseInt(v), 4);
-                  case "spot-capacity" -> world.cloud.spotCapacity = Integer.parseInt(v);
-                  case "capacity" -> world.cloud.capacity = Integer.parseInt(v);
-                  case "boot" -> world.cloud.bootMs = ScenarioWords.seconds(v);
-                  case "never-boots" -> world.cloud.nextNeverBoots(Integer.parseInt(v));
-                  case "lease" -> world.leaseMs = ScenarioWords.seconds(v);
-                  case "cancel" -> world.cancelMs = ScenarioWords.seconds(v);
-                  case "rps" -> world.stateRps = Double.parseDouble(v);
+                  case "slow-boots" -> cluster.cloud.nextBootSlowly(Integer.parseInt(v), 4);
+                  case "spot-capacity" -> cluster.cloud.spotCapacity = Integer.parseInt(v);
+                  case "capacity" -> cluster.cloud.capacity = Integer.parseInt(v);
+                  case "boot" -> cluster.cloud.bootMs = ScenarioWords.seconds(v);
+                  case "never-boots" -> cluster.cloud.nextNeverBoots(Integer.parseInt(v));
+                  case "lease" -> cluster.leaseMs = ScenarioWords.seconds(v);
+                  case "cancel" -> cluster.cancelMs = ScenarioWords.seconds(v);
+                  case "rps" -> cluster.stateRps = Double.parseDouble(v);
                   case "write-rps" -> {
-                    world.stateWriteRps = Double.parseDouble(v);
-                    world.state.limit();
+                    cluster.stateWriteRps = Double.parseDouble(v);
+                    cluster.state.enforceRates();
                   }
-                  case "value-kb" -> world.stateValueKb = Double.parseDouble(v);
-                  case "backlog" -> world.state.backlog = Integer.parseInt(v);
-                  case "standby" -> world.features = FEATURES;
-                  case "standby-kept" -> world.features = keeping(Integer.parseInt(v));
-                  case "history" -> world.state.keepHistory(Integer.parseInt(v));
+                  case "value-kb" -> cluster.stateValueKb = Double.parseDouble(v);
+                  case "backlog" -> cluster.state.maxAnswerChanges = Integer.parseInt(v);
+                  case "standby" -> cluster.features = STANDBY_FEATURES;
+                  case "standby-kept" -> cluster.features = standbyKeeping(Integer.parseInt(v));
+                  case "history" -> cluster.state.keepHistory(Integer.parseInt(v));
                   default -> throw new IllegalArgumentException(k);
                 }
               });
         }
         default -> {
-          if (w[2].equals("every")) {
-            repeat(w);
+          if (words[2].equals("every")) {
+            scheduleRepeatedly(words);
           } else {
-            schedule(w);
+            schedule(words);
           }
         }
       }
@@ -140,56 +141,56 @@
   }
 
   /** Starts the controllers. */
-  void begin() {
-    world.nodes.values().forEach(SimulatedCluster.Node::start);
-    world.after(troublesEnd, world.checker::watchWaiting);
+  void start() {
+    cluster.nodes.values().forEach(SimulatedCluster.Node::start);
+    cluster.after(faultsEndAt, cluster.checker::watchWaitingJobs);
   }
 
   /** When the scenario is over, in ms. */
-  long end() {
-    return end;
+  long endMs() {
+    return endMs;
   }
 
   /** What was not as expected; to be called when it is over. */
-  List<String> judge() {
-    world.checker.over(troublesEnd);
-    ScenarioExpectations judge = new ScenarioExpectations(world, failures);
-    expectations.forEach(judge::expect);
-    if (world.state.malformed != null) {
-      failures.add("the state service was asked for " + world.state.malformed);
+  List<String> evaluate() {
+    cluster.checker.checkForgotten(faultsEndAt);
+    ScenarioExpectations expected = new ScenarioExpectations(cluster, failures);
+    expectations.forEach(expected::expect);
+    if (cluster.state.firstLimitViolation != null) {
+      failures.add("the state service was asked for " + cluster.state.firstLimitViolation);
     }
-    if (world.cloud.malformed != null) {
-      failures.add("the cloud was asked for " + world.cloud.malformed);
+    if (cluster.cloud.firstLimitViolation != null) {
+      failures.add("the cloud was asked for " + cluster.cloud.firstLimitViolation);
     }
-    if (!judge.expectsBroken() && !world.checker.broken.isEmpty()) {
-      failures.add("broken: " + world.checker.broken);
+    if (!expected.expectsViolation() && !cluster.checker.violations.isEmpty()) {
+      failures.add("broken: " + cluster.checker.violations);
     }
     return failures;
   }
 
-  private void schedule(String[] w) {
+  private void schedule(String[] words) {
     // "late": a copy of a message is trouble until it has come.
-    troublesEnd =
+    faultsEndAt =
         Math.max(
-            troublesEnd,
-            ScenarioWords.seconds(w[1])
-                + ScenarioWords.seconds(ScenarioWords.word(w, "for", "0"))
-                + ScenarioWords.seconds(ScenarioWords.word(w, "late", "0")));
-    world.after(ScenarioWords.seconds(w[1]), () -> actions.act(w));
+            faultsEndAt,
+            ScenarioWords.seconds(words[1])
+                + ScenarioWords.seconds(ScenarioWords.wordAfter(words, "for", "0"))
+                + ScenarioWords.seconds(ScenarioWords.wordAfter(words, "late", "0")));
+    cluster.after(ScenarioWords.seconds(words[1]), () -> actions.act(words));
   }
 
   /** at 2 every 0.5 until 60 submit run-# ...: the same again and again, # being a number. */
-  private void repeat(String[] w) {
-    int n = 0;
-    for (long t = ScenarioWords.seconds(w[1]);
-        t <= ScenarioWords.seconds(w[5]);
-        t += ScenarioWords.seconds(w[3])) {
-      List<String> one = new ArrayList<>(List.of("at", String.valueOf(t / 1000.0)));
-      for (int i = 6; i < w.length; i++) {
-        one.add(w[i].replace("#", String.valueOf(n)));
+  private void scheduleRepeatedly(String[] words) {
+    int number = 0;
+    for (long atMs = ScenarioWords.seconds(words[1]);
+        atMs <= ScenarioWords.seconds(words[5]);
+        atMs += ScenarioWords.seconds(words[3])) {
+      List<String> line = new ArrayList<>(List.of("at", String.valueOf(atMs / 1000.0)));
+      for (int i = 6; i < words.length; i++) {
+        line.add(words[i].replace("#", String.valueOf(number)));
       }
-      n++;
-      schedule(one.toArray(new String[0]));
+      number++;
+      schedule(line.toArray(new String[0]));
     }
   }
 }
--- a/src/test/java/org/baygw/control/sim/ScenarioActions.java
+++ b/src/test/java/org/baygw/control/sim/ScenarioActions.java
@@ -6,24 +6,24 @@
 
 /** What happens in a scenario: what users do, and the troubles. */
 final class ScenarioActions {
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final ScenarioUsers users;
   private final List<String> failures;
 
-  ScenarioActions(SimulatedCluster world, ScenarioUsers users, List<String> failures) {
-    this.world = world;
+  ScenarioActions(SimulatedCluster cluster, ScenarioUsers users, List<String> failures) {
+    this.cluster = cluster;
     this.users = users;
     this.failures = failures;
   }
 
   /** The controller that leads by the state service, or null. */
   SimulatedCluster.Node leader() {
-    JsonNode claim = world.state.value("b/claim/leader");
-    return claim == null ? null : world.nodes.get(claim.path("owner").asText());
+    JsonNode claim = cluster.state.value("b/claim/leader");
+    return claim == null ? null : cluster.nodes.get(claim.path("owner").asText());
   }
 
   void restart(SimulatedCluster.Node node) {
-    if (node.lives()) {
+    if (node.isAlive()) {
       node.crash(); // it has not ended by itself
     }
     node.start();
@@ -31,7 +31,7 @@
 
   /** Asks a controller to hand its roles over, and to take them again after some time. */
   void handover(String label, String method, long forMs) {
-    world.call(
+    cluster.call(
         "operator",
         label + ":8081",
         method,
@@ -40,70 +40,72 @@
         5_000,
         (status, body) -> {});
     if (forMs > 0) {
-      world.after(forMs, () -> handover(label, "DELETE", 0));
+      cluster.after(forMs, () -> handover(label, "DELETE", 0));
     }
   }
 
-  List<String> names(String pattern) {
+  List<String> hostsNamed(String pattern) {
     if (pattern.equals("controllers")) {
-      return world.labels;
+      return cluster.labels;
     }
     if (pattern.equals("workers")) {
-      return List.copyOf(world.workers.keySet());
+      return List.copyOf(cluster.workers.keySet());
     }
     return List.of(pattern);
   }
 
   /** Breaks a rule in the world itself, to show that the checker sees it. */
-  void violate(String[] w) {
-    if (w[3].equals("silence")) {
-      users.unasked.add(w[4]);
-    } else if (w[3].equals("obey")) {
-      world.checker.obeyed(w[4], w.length > 6 ? Long.parseLong(w[6]) : Long.MAX_VALUE, w[5]);
-    } else if (w[3].equals("launch")) {
-      world.workers.get(w[4]).force(w[5]);
+  void violate(String[] words) {
+    if (words[3].equals("silence")) {
+      users.unpolled.add(words[4]);
+    } else if (words[3].equals("obey")) {
+      cluster.checker.obeyed(
+          words[4], words.length > 6 ? Long.parseLong(words[6]) : Long.MAX_VALUE, words[5]);
+    } else if (words[3].equals("launch")) {
+      cluster.workers.get(words[4]).launchUnrequested(words[5]);
     } else {
-      world.checker.answered(
-          w[4],
-          Integer.parseInt(w[5]),
-          Json.object().put("status", w.length > 6 ? w[6] : ""),
-          world.checker.toldOf(w[4]));
+      cluster.checker.answered(
+          words[4],
+          Integer.parseInt(words[5]),
+          Json.object().put("status", words.length > 6 ? words[6] : ""),
+          cluster.checker.lastStatusTold(words[4]));
     }
   }
 
   /** Carries out what a line says. */
-  void act(String[] w) {
-    long forMs = ScenarioWords.seconds(ScenarioWords.word(w, "for", "0"));
-    switch (w[2]) {
-      case "submit" -> users.submit(w);
-      case "abort" -> users.abort(w[3], ScenarioWords.word(w, "via", null));
+  void act(String[] words) {
+    long forMs = ScenarioWords.seconds(ScenarioWords.wordAfter(words, "for", "0"));
+    switch (words[2]) {
+      case "submit" -> users.submit(words);
+      case "abort" -> users.abort(words[3], ScenarioWords.wordAfter(words, "via", null));
       case "cancel-now" ->
-          users.cancelNow(w, ScenarioWords.seconds(ScenarioWords.word(w, "hang", "0")));
+          users.cancelNow(
+              words, ScenarioWords.seconds(ScenarioWords.wordAfter(words, "hang", "0")));
       case "cancel-at-end" -> {
-        double share = Double.parseDouble(ScenarioWords.word(w, "share", "1"));
-        world.checker.cancelAtEnd =
+        double share = Double.parseDouble(ScenarioWords.wordAfter(words, "share", "1"));
+        cluster.checker.cancelAtEnd =
             id -> {
-              if (world.random.nextDouble() < share) {
+              if (cluster.random.nextDouble() < share) {
                 users.abort(id, null);
               }
             };
-        world.after(forMs, () -> world.checker.cancelAtEnd = null);
+        cluster.after(forMs, () -> cluster.checker.cancelAtEnd = null);
       }
-      case "odd-requests" -> users.odd(world.now() + forMs);
-      case "violate" -> violate(w);
-      default -> actOnControllers(w);
+      case "odd-requests" -> users.sendOddRequests(cluster.now() + forMs);
+      case "violate" -> violate(words);
+      default -> actOnControllers(words);
     }
   }
 
   /** What is done to controllers. */
-  private void actOnControllers(String[] w) {
-    long forMs = ScenarioWords.seconds(ScenarioWords.word(w, "for", "0"));
-    switch (w[2]) {
+  private void actOnControllers(String[] words) {
+    long forMs = ScenarioWords.seconds(ScenarioWords.wordAfter(words, "for", "0"));
+    switch (words[2]) {
       case "crash" -> {
-        for (SimulatedCluster.Node n : world.nodes.values()) {
-          if (w[3].equals("all") || w[3].equals(n.label)) {
+        for (SimulatedCluster.Node n : cluster.nodes.values()) {
+          if (words[3].equals("all") || words[3].equals(n.label)) {
             n.crash();
-            world.after(forMs, n::start);
+            cluster.after(forMs, n::start);
           }
         }
       }
@@ -113,11 +115,11 @@
           return; // nobody holds it just now
         }
         n.crash();
-        world.lastCrashAt = world.now();
-        world.crashes.add(world.now());
-        world.after(forMs, n::start);
+        cluster.lastCrashAt = cluster.now();
+        cluster.leaderCrashTimes.add(cluster.now());
+        cluster.after(forMs, n::start);
       }
-      case "freeze" -> world.nodes.get(w[3]).freeze(forMs);
+      case "freeze" -> cluster.nodes.get(words[3]).freeze(forMs);
       case "freeze-leader-sending" -> {
         SimulatedCluster.Node leader = leader();
         if (leader != null) {
@@ -125,91 +127,95 @@
         }
       }
       case "terminate" -> {
-        SimulatedCluster.Node node = w[3].equals("leader") ? leader() : world.nodes.get(w[3]);
+        SimulatedCluster.Node node =
+            words[3].equals("leader") ? leader() : cluster.nodes.get(words[3]);
         if (node != null) {
           node.terminate();
-          world.lastCrashAt = world.now();
-          world.after(forMs, () -> restart(node));
+          cluster.lastCrashAt = cluster.now();
+          cluster.after(forMs, () -> restart(node));
         }
       }
-      case "handover" -> handover(w[3], "POST", forMs);
+      case "handover" -> handover(words[3], "POST", forMs);
       case "freeze-leader" -> {
         SimulatedCluster.Node leader = leader();
         if (leader != null) {
           leader.freeze(forMs);
         }
       }
-      default -> actOnNetwork(w);
+      default -> actOnNetwork(words);
     }
   }
 
   /** What is done to messages and to the services outside. */
-  private void actOnNetwork(String[] w) {
-    long forMs = ScenarioWords.seconds(ScenarioWords.word(w, "for", "0"));
-    switch (w[2]) {
+  private void actOnNetwork(String[] words) {
+    long forMs = ScenarioWords.seconds(ScenarioWords.wordAfter(words, "for", "0"));
+    switch (words[2]) {
       case "cut" -> {
         SimulatedCluster.Cut kind =
-            SimulatedCluster.Cut.valueOf(w[5].toUpperCase().replace('-', '_'));
-        for (String a : names(w[3])) {
-          for (String b : names(w[4])) {
-            world.cut(a, b, kind, forMs);
+            SimulatedCluster.Cut.valueOf(words[5].toUpperCase().replace('-', '_'));
+        for (String a : hostsNamed(words[3])) {
+          for (String b : hostsNamed(words[4])) {
+            cluster.cut(a, b, kind, forMs);
           }
         }
       }
       case "apart" -> {
         // Cut off from the state service and the siblings, not from workers and users.
-        for (String other : names("controllers")) {
-          world.cut(w[3], other, SimulatedCluster.Cut.DROP, forMs);
-          world.cut(other, w[3], SimulatedCluster.Cut.DROP, forMs);
+        for (String other : hostsNamed("controllers")) {
+          cluster.cut(words[3], other, SimulatedCluster.Cut.DROP, forMs);
+          cluster.cut(other, words[3], SimulatedCluster.Cut.DROP, forMs);
         }
-        world.cut(w[3], "state", SimulatedCluster.Cut.HOLD, forMs);
-        world.cut("state", w[3], SimulatedCluster.Cut.DROP, forMs);
+        cluster.cut(words[3], "state", SimulatedCluster.Cut.HOLD, forMs);
+        cluster.cut("state", words[3], SimulatedCluster.Cut.DROP, forMs);
       }
-      case "mute" -> names(w[3]).forEach(m -> world.mute(m, forMs));
+      case "mute" -> hostsNamed(words[3]).forEach(m -> cluster.mute(m, forMs));
       case "late-writes" ->
-          world.state.lateWrites(Double.parseDouble(ScenarioWords.word(w, "share", "1")), forMs);
+          cluster.state.lateWrites(
+              Double.parseDouble(ScenarioWords.wordAfter(words, "share", "1")), forMs);
       case "cut-zone-workers" -> {
         // Cut off from the controllers of other zones; what its own controllers say still arrives.
-        for (WorkerStub worker : world.workers.values()) {
-          for (SimulatedCluster.Node n : world.nodes.values()) {
-            if (worker.zone.equals(w[3]) && !n.zone.equals(w[3])) {
-              world.cut(worker.name, n.label, SimulatedCluster.Cut.DROP, forMs);
-              world.cut(n.label, worker.name, SimulatedCluster.Cut.DROP, forMs);
+        for (WorkerStub worker : cluster.workers.values()) {
+          for (SimulatedCluster.Node n : cluster.nodes.values()) {
+            if (worker.zone.equals(words[3]) && !n.zone.equals(words[3])) {
+              cluster.cut(worker.name, n.label, SimulatedCluster.Cut.DROP, forMs);
+              cluster.cut(n.label, worker.name, SimulatedCluster.Cut.DROP, forMs);
             }
           }
         }
       }
       case "copies" -> {
-        for (String m : names(w[3])) {
-          world.copies(m, ScenarioWords.seconds(ScenarioWords.word(w, "late", "0")), forMs);
+        for (String m : hostsNamed(words[3])) {
+          cluster.duplicateReports(
+              m, ScenarioWords.seconds(ScenarioWords.wordAfter(words, "late", "0")), forMs);
         }
       }
-      case "state-outage" -> world.state.outage(ScenarioWords.word(w, "only", null), forMs);
-      case "cloud-outage" -> world.cloud.outage(forMs);
-      case "capacity" -> world.cloud.capacity = Integer.parseInt(w[3]);
-      default -> actOnMachines(w);
+      case "state-outage" ->
+          cluster.state.outage(ScenarioWords.wordAfter(words, "only", null), forMs);
+      case "cloud-outage" -> cluster.cloud.outage(forMs);
+      case "capacity" -> cluster.cloud.capacity = Integer.parseInt(words[3]);
+      default -> actOnMachines(words);
     }
   }
 
   /** What is done to machines. */
-  private void actOnMachines(String[] w) {
-    long forMs = ScenarioWords.seconds(ScenarioWords.word(w, "for", "0"));
-    switch (w[2]) {
-      case "hang" -> world.workers.get(w[3]).hang(forMs);
+  private void actOnMachines(String[] words) {
+    long forMs = ScenarioWords.seconds(ScenarioWords.wordAfter(words, "for", "0"));
+    switch (words[2]) {
+      case "hang" -> cluster.workers.get(words[3]).hang(forMs);
       case "hang-some" -> {
-        int count = Integer.parseInt(w[3]);
-        if (world.workers.size() < count) {
-          failures.add("only " + world.workers.size() + " machines are there to hang");
+        int count = Integer.parseInt(words[3]);
+        if (cluster.workers.size() < count) {
+          failures.add("only " + cluster.workers.size() + " machines are there to hang");
         }
-        world.workers.values().stream().limit(count).forEach(m -> m.hang(forMs));
+        cluster.workers.values().stream().limit(count).forEach(m -> m.hang(forMs));
       }
-      case "take" -> world.cloud.take(w[3]);
-      case "sick" -> world.workers.get(w[3]).sick = true;
+      case "take" -> cluster.cloud.remove(words[3]);
+      case "sick" -> cluster.workers.get(words[3]).sick = true;
       case "notice" -> {
-        world.workers.get(w[3]).noticeUntil = world.now() + forMs;
-        world.after(forMs, () -> world.cloud.take(w[3]));
+        cluster.workers.get(words[3]).reclaimAt = cluster.now() + forMs;
+        cluster.after(forMs, () -> cluster.cloud.remove(words[3]));
       }
-      default -> throw new IllegalArgumentException("no such act: " + w[2]);
+      default -> throw new IllegalArgumentException("no such act: " + words[2]);
     }
   }
 }
--- a/src/test/java/org/baygw/control/sim/ScenarioUsers.java
+++ b/src/test/java/org/baygw/control/sim/ScenarioUsers.java
@@ -12,64 +12,64 @@
 
 /** The users of a scenario: they submit, ask and cancel, and try again until they are answered. */
 final class ScenarioUsers {
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final List<String> failures;
 
   /** Submissions, as they were sent. */
   private final Map<String, byte[]> sent = new TreeMap<>();
 
   /** Jobs about which nothing is asked any more. */
-  final Set<String> unasked = new HashSet<>();
+  final Set<String> unpolled = new HashSet<>();
 
-  ScenarioUsers(SimulatedCluster world, List<String> failures) {
-    this.world = world;
+  ScenarioUsers(SimulatedCluster cluster, List<String> failures) {
+    this.cluster = cluster;
     this.failures = failures;
   }
 
   /** Calls off jobs that run, within a fifth of a second; their machines may hang. */
-  void cancelNow(String[] w, long hangMs) {
-    int left = Integer.parseInt(ScenarioWords.options(w, 3).getOrDefault("count", "1"));
-    for (String id : world.checker.running()) {
-      if (left-- > 0) {
-        world.after(world.random.nextInt(200), () -> abort(id, null));
+  void cancelNow(String[] words, long hangMs) {
+    int remaining = Integer.parseInt(ScenarioWords.options(words, 3).getOrDefault("count", "1"));
+    for (String id : cluster.checker.running()) {
+      if (remaining-- > 0) {
+        cluster.after(cluster.random.nextInt(200), () -> abort(id, null));
         if (hangMs > 0) {
-          world.checker.machinesOf(id).forEach(m -> m.hang(hangMs));
+          cluster.checker.machinesOf(id).forEach(m -> m.hang(hangMs));
         }
       }
     }
   }
 
   /** Repeats submissions, cancels what is done, sends what can never run or lacks a field. */
-  void odd(long until) {
-    if (world.now() >= until) {
+  void sendOddRequests(long untilMs) {
+    if (cluster.now() >= untilMs) {
       return;
     }
     List<String> ids = new ArrayList<>(sent.keySet());
     if (!ids.isEmpty()) {
-      String id = ids.get(world.random.nextInt(ids.size()));
+      String id = ids.get(cluster.random.nextInt(ids.size()));
       ask("POST", "/v1/jobs", sent.get(id), id, 0, i -> {});
-      if ("done".equals(world.checker.toldOf(id))) {
+      if ("done".equals(cluster.checker.lastStatusTold(id))) {
         ask("POST", "/v1/jobs/" + id + "/abort", Json.bytes(Json.object()), id, 0, i -> {});
       }
-      ObjectNode bad = (ObjectNode) Json.parse(sent.get(id));
-      String never = "run-odd" + world.now();
-      refused(bad.put("id", never).put("cores", 1_000.0), never, 422);
-      bad.put("cores", 1.0).remove("crew");
-      refused(bad.put("id", never + "x"), never + "x", 400);
+      ObjectNode invalid = (ObjectNode) Json.parse(sent.get(id));
+      String refusedId = "run-odd" + cluster.now();
+      submitExpectingRefusal(invalid.put("id", refusedId).put("cores", 1_000.0), refusedId, 422);
+      invalid.put("cores", 1.0).remove("crew");
+      submitExpectingRefusal(invalid.put("id", refusedId + "x"), refusedId + "x", 400);
     }
-    world.after(500, () -> odd(until));
+    cluster.after(500, () -> sendOddRequests(untilMs));
   }
 
   /** Sends a submission that is to be refused with this status, once the service can tell. */
-  void refused(ObjectNode body, String id, int status) {
-    List<String> live = new ArrayList<>(world.liveLabels());
+  void submitExpectingRefusal(ObjectNode body, String id, int status) {
+    List<String> live = new ArrayList<>(cluster.liveLabels());
     if (live.isEmpty()) {
       return;
     }
     live.sort(null);
-    world.call(
+    cluster.call(
         "user",
-        live.get(world.random.nextInt(live.size())) + ":8080",
+        live.get(cluster.random.nextInt(live.size())) + ":8080",
         "POST",
         "/v1/jobs",
         Json.bytes(body),
@@ -81,64 +81,74 @@
         });
   }
 
-  void submit(String[] w) {
-    Map<String, String> o = ScenarioWords.options(w, 4);
-    InvariantChecker.Submitted s =
+  void submit(String[] words) {
+    Map<String, String> options = ScenarioWords.options(words, 4);
+    InvariantChecker.Submitted job =
         new InvariantChecker.Submitted(
-            w[3],
-            o.getOrDefault("team", world.teams.get(0).name()),
-            o.containsKey("service"),
-            Integer.parseInt(o.getOrDefault("tasks", "1")),
-            Double.parseDouble(o.getOrDefault("cpus", "4")),
-            o.getOrDefault("image", "img"),
-            o.get("zone"),
-            o.containsKey("spread"),
-            o.containsKey("together"),
-            o.containsKey("spot"),
-            o.containsKey("saves"),
-            o.containsKey("mistaken"),
-            ScenarioWords.seconds(o.getOrDefault("run", "5")));
-    world.checker.submitted(s);
-    ObjectNode n = Json.object().put("id", s.id()).put("lane", "any").put("crew", s.team());
-    n.put("shape", s.service() ? "standing" : "array");
-    n.put("rank", o.getOrDefault("rank", s.service() ? "prod" : "normal"));
-    n.put("chores", s.tasks()).put("cores", s.cpus()).put("accelerators", 0.0);
-    n.put("memoryGb", Double.parseDouble(o.getOrDefault("memory", "4")));
-    n.put("bundle", s.image()).put("sizeGb", 1.0);
-    n.put("yard", s.zone()).put("together", s.together()).put("spread", s.spread());
-    n.put("loaners", s.spot()).put("guessS", s.service() ? 0 : s.runMs() / 1000.0);
-    n.put("stashEveryS", s.saves() ? 5.0 : 0.0).put("stashS", s.saves() ? 1.0 : 0.0);
-    sent.put(s.id(), Json.bytes(n));
-    ask("POST", "/v1/jobs", Json.bytes(n), s.id(), 0, this::polls);
-    if (o.containsKey("twice")) {
-      ask("POST", "/v1/jobs", Json.bytes(n), s.id(), 0, id -> {});
+            words[3],
+            options.getOrDefault("team", cluster.teams.get(0).name()),
+            options.containsKey("service"),
+            Integer.parseInt(options.getOrDefault("tasks", "1")),
+            Double.parseDouble(options.getOrDefault("cpus", "4")),
+            options.getOrDefault("image", "img"),
+            options.get("zone"),
+            options.containsKey("spread"),
+            options.containsKey("together"),
+            options.containsKey("spot"),
+            options.containsKey("saves"),
+            options.containsKey("mistaken"),
+            ScenarioWords.seconds(options.getOrDefault("run", "5")));
+    cluster.checker.submitted(job);
+    ObjectNode request =
+        Json.object().put("id", job.id()).put("lane", "any").put("crew", job.team());
+    request.put("shape", job.service() ? "standing" : "array");
+    request.put("rank", options.getOrDefault("rank", job.service() ? "prod" : "normal"));
+    request.put("chores", job.tasks()).put("cores", job.cpus()).put("accelerators", 0.0);
+    request.put("memoryGb", Double.parseDouble(options.getOrDefault("memory", "4")));
+    request.put("bundle", job.image()).put("sizeGb", 1.0);
+    request.put("yard", job.zone()).put("together", job.together()).put("spread", job.spread());
+    request.put("loaners", job.spot()).put("guessS", job.service() ? 0 : job.runMs() / 1000.0);
+    request.put("stashEveryS", job.saves() ? 5.0 : 0.0).put("stashS", job.saves() ? 1.0 : 0.0);
+    sent.put(job.id(), Json.bytes(request));
+    ask("POST", "/v1/jobs", Json.bytes(request), job.id(), 0, this::schedulePoll);
+    if (options.containsKey("twice")) {
+      ask("POST", "/v1/jobs", Json.bytes(request), job.id(), 0, id -> {});
     }
   }
 
-  interface Then {
-    void then(String id);
+  interface AnswerCallback {
+    void answered(String id);
   }
 
   /** Asks a live controller until it gets a final status. */
-  void ask(String method, String path, byte[] body, String id, int tries, Then then) {
-    if (tries > 300) {
+  void ask(
+      String method, String path, byte[] body, String id, int attempts, AnswerCallback callback) {
+    if (attempts > 300) {
       failures.add(method + " " + path + " was never answered");
       return;
     }
-    List<String> live = new ArrayList<>(world.liveLabels());
+    List<String> live = new ArrayList<>(cluster.liveLabels());
     if (live.isEmpty()) {
-      world.after(1_000, () -> ask(method, path, body, id, tries + 1, then));
+      cluster.after(1_000, () -> ask(method, path, body, id, attempts + 1, callback));
       return;
     }
     live.sort(null);
-    askOf(live.get(world.random.nextInt(live.size())), method, path, body, id, tries, then);
+    askController(
+        live.get(cluster.random.nextInt(live.size())), method, path, body, id, attempts, callback);
   }
 
-  void askOf(
-      String label, String method, String path, byte[] body, String id, int tries, Then then) {
-    Runnable again = () -> world.after(1_000, () -> ask(method, path, body, id, tries + 1, then));
-    String before = world.checker.toldOf(id);
-    world.call(
+  void askController(
+      String label,
+      String method,
+      String path,
+      byte[] body,
+      String id,
+      int attempts,
+      AnswerCallback callback) {
+    Runnable retry =
+        () -> cluster.after(1_000, () -> ask(method, path, body, id, attempts + 1, callback));
+    String statusBefore = cluster.checker.lastStatusTold(id);
+    cluster.call(
         "user",
         label + ":8080",
         method,
@@ -147,8 +157,8 @@
         5_000,
         (status, answer) -> {
           if (status == 200 || status == 201 || status == 400 || status == 404 || status == 422) {
-            world.checker.answered(id, status, Json.parse(answer), before);
-            then.then(id);
+            cluster.checker.answered(id, status, Json.parse(answer), statusBefore);
+            callback.answered(id);
           } else {
             if (status != Outbox.NO_ANSWER
                 && status != Outbox.NOT_SENT
@@ -156,28 +166,28 @@
                 && status != 429) {
               failures.add(method + " " + path + " was answered " + status);
             }
-            again.run();
+            retry.run();
           }
         });
   }
 
-  void polls(String id) {
-    world.after(
-        1_500 + world.random.nextInt(1_000),
+  void schedulePoll(String id) {
+    cluster.after(
+        1_500 + cluster.random.nextInt(1_000),
         () -> {
-          if (!unasked.contains(id)) {
-            ask("GET", "/v1/jobs/" + id, null, id, 0, this::polls);
+          if (!unpolled.contains(id)) {
+            ask("GET", "/v1/jobs/" + id, null, id, 0, this::schedulePoll);
           }
         });
   }
 
   void abort(String id, String via) {
-    world.checker.abortAsked(id);
+    cluster.checker.abortRequested(id);
     byte[] none = Json.bytes(Json.object());
     if (via == null) {
       ask("POST", "/v1/jobs/" + id + "/abort", none, id, 0, i -> {});
     } else {
-      askOf(via, "POST", "/v1/jobs/" + id + "/abort", none, id, 0, i -> {});
+      askController(via, "POST", "/v1/jobs/" + id + "/abort", none, id, 0, i -> {});
     }
   }
 }
--- a/src/test/java/org/baygw/control/sim/SimulatedCluster.java
+++ b/src/test/java/org/baygw/control/sim/SimulatedCluster.java
@@ -31,10 +31,10 @@
   /**
    * For how long after its release is carried out a controller that waits for the answer is silent.
    */
-  private static final long RELEASING_MS = 1_000;
+  private static final long RELEASE_WINDOW_MS = 1_000;
 
   /** For how long after a freeze a process counts as just woken. */
-  private static final long WOKEN_MS = 300;
+  private static final long RESUME_WINDOW_MS = 300;
 
   private record Event(long at, long order, Runnable action) {}
 
@@ -48,7 +48,7 @@
     LOSE_ANSWERS
   }
 
-  private record CutState(Cut kind, long until) {}
+  private record ActiveCut(Cut kind, long untilMs) {}
 
   final Random random;
   final List<String> zones;
@@ -61,13 +61,13 @@
   final List<String> labels = new ArrayList<>();
   final Map<String, Node> nodes = new TreeMap<>();
   final List<Settings.Team> teams;
-  private final Map<String, CutState> cuts = new HashMap<>();
+  private final Map<String, ActiveCut> cuts = new HashMap<>();
 
   /** Workers whose reports are delivered once more, so much later, until then. */
-  private final Map<String, long[]> copies = new HashMap<>();
+  private final Map<String, long[]> duplicateReports = new HashMap<>();
 
   /** Until when workers' reports reach no controller, while direct commands are answered. */
-  private final Map<String, Long> mute = new HashMap<>();
+  private final Map<String, Long> mutedUntil = new HashMap<>();
 
   /** Orders that controllers sent just after their claims were released. */
   int ordersAfterRelease;
@@ -76,7 +76,7 @@
   int staleOrders;
 
   /** When scenarios ended the leader's controller. */
-  final List<Long> crashes = new ArrayList<>();
+  final List<Long> leaderCrashTimes = new ArrayList<>();
 
   /** When a scenario last ended the leader's controller. */
   long lastCrashAt;
@@ -98,7 +98,7 @@
   private long now;
 
   /** Controllers that run as processes of their own, in place of cores in this one. */
-  interface Remote {
+  interface RemoteControllers {
     void start(String label);
 
     void kill(String label);
@@ -109,7 +109,7 @@
     /** Asks a process to end. */
     void terminate(String label);
 
-    boolean lives(String label);
+    boolean isAlive(String label);
 
     /** Sends a request; a connection that is refused is answered with {@link Outbox#NOT_SENT}. */
     void send(
@@ -118,14 +118,14 @@
         String method,
         String path,
         byte[] body,
-        StateServiceStub.Respond respond);
+        StateServiceStub.ResponseCallback respond);
 
     /** Where a worker listens. */
     String address(String worker);
   }
 
   /** Null where the controllers' cores run here. */
-  Remote remote;
+  RemoteControllers remote;
 
   /** One controller: its core, replaced at every restart. */
   final class Node {
@@ -133,27 +133,27 @@
     final String zone;
 
     /** How far this controller's time of day is from the true one. */
-    private final long wallErrorMs;
+    private final long wallClockOffsetMs;
 
     Controller core;
-    int life;
+    int incarnation;
     private long frozenUntil;
     private long freezeBeforeOrdersMs;
-    private long awakeAt = Long.MIN_VALUE;
-    private boolean stepDue;
+    private long resumedAt = Long.MIN_VALUE;
+    private boolean stepScheduled;
     private long lastStep;
     private Settings settings;
     private long requests;
-    private final Map<Long, StateServiceStub.Respond> pending = new HashMap<>();
+    private final Map<Long, StateServiceStub.ResponseCallback> pending = new HashMap<>();
 
-    Node(String label, String zone, long wallErrorMs) {
-      this.wallErrorMs = wallErrorMs;
+    Node(String label, String zone, long wallClockOffsetMs) {
+      this.wallClockOffsetMs = wallClockOffsetMs;
       this.label = label;
       this.zone = zone;
     }
 
-    boolean lives() {
-      return remote == null ? core != null : remote.lives(label);
+    boolean isAlive() {
+      return remote == null ? core != null : remote.isAlive(label);
     }
 
     void start() {
@@ -161,45 +161,45 @@
         remote.start(label);
         return;
       }
-      life++;
+      incarnation++;
       frozenUntil = 0;
       freezeBeforeOrdersMs = 0;
-      stepDue = false;
+      stepScheduled = false;
       pending.clear();
       settings = settingsOf(this);
       core = new Controller(settings, features);
-      int mine = life;
-      ticks(mine);
+      int startedAs = incarnation;
+      scheduleTick(startedAs);
     }
 
     /** Like the event loop's: a step is taken where none was for a while. */
-    private void ticks(int mine) {
+    private void scheduleTick(int startedAs) {
       long left = lastStep + settings.tickMs() - now;
       after(
           Math.max(1, left),
           () ->
-              whenAwake(
-                  mine,
+              whenNotFrozen(
+                  startedAs,
                   () -> {
                     if (now - lastStep >= settings.tickMs()) {
                       step();
                     }
-                    ticks(mine);
+                    scheduleTick(startedAs);
                   }));
     }
 
     private void step() {
-      stepDue = false;
+      stepScheduled = false;
       lastStep = now;
-      carryOut(work.measure("tick", () -> core.tick(now, wall())), now);
+      execute(work.measure("tick", () -> core.tick(now, wallClock())), now);
     }
 
     /** One step follows all outcomes that come at the same time. */
-    private void stepSoon() {
-      if (!stepDue) {
-        stepDue = true;
-        int mine = life;
-        after(0, () -> whenAwake(mine, this::step));
+    private void scheduleStep() {
+      if (!stepScheduled) {
+        stepScheduled = true;
+        int startedAs = incarnation;
+        after(0, () -> whenNotFrozen(startedAs, this::step));
       }
     }
 
@@ -212,7 +212,7 @@
         return;
       }
       frozenUntil = now + forMs;
-      awakeAt = frozenUntil;
+      resumedAt = frozenUntil;
     }
 
     /**
@@ -233,39 +233,39 @@
         return;
       }
       core.beginToEnd();
-      awaitEnd(life, now + Constants.HANDOVER_MOST_MS);
+      awaitTermination(incarnation, now + Constants.HANDOVER_MOST_MS);
     }
 
-    private void awaitEnd(int mine, long until) {
-      if (core == null || life != mine) {
+    private void awaitTermination(int startedAs, long deadline) {
+      if (core == null || incarnation != startedAs) {
         return;
       }
-      if (core.ended() || now >= until) {
+      if (core.ended() || now >= deadline) {
         crash();
       } else {
-        after(Constants.TICK_MS, () -> awaitEnd(mine, until));
+        after(Constants.TICK_MS, () -> awaitTermination(startedAs, deadline));
       }
     }
 
-    private void whenAwake(int mine, Runnable action) {
-      if (core == null || life != mine) {
+    private void whenNotFrozen(int startedAs, Runnable action) {
+      if (core == null || incarnation != startedAs) {
         return;
       }
       if (now < frozenUntil) {
-        after(frozenUntil - now, () -> whenAwake(mine, action));
+        after(frozenUntil - now, () -> whenNotFrozen(startedAs, action));
       } else {
         action.run();
       }
     }
 
-    private long wall() {
-      return now + wallErrorMs;
+    private long wallClock() {
+      return now + wallClockOffsetMs;
     }
 
     /** What the administration API tells of warm standby now. */
-    JsonNode standbyPage() {
+    JsonNode standbyStatus() {
       for (Outbox.Effect effect :
-          core.peerRequest(now, wall(), ++requests, "GET", "/admin/v1/standby", new byte[0])) {
+          core.peerRequest(now, wallClock(), ++requests, "GET", "/admin/v1/standby", new byte[0])) {
         if (effect instanceof Outbox.Answer answer) {
           return Json.parse(answer.body());
         }
@@ -279,97 +279,101 @@
         return;
       }
       core = null;
-      life++;
+      incarnation++;
     }
 
     void receive(
-        boolean peer, String method, String path, byte[] body, StateServiceStub.Respond respond) {
+        boolean peer,
+        String method,
+        String path,
+        byte[] body,
+        StateServiceStub.ResponseCallback respond) {
       long id = ++requests;
       pending.put(id, respond);
-      whenAwake(
-          life,
+      whenNotFrozen(
+          incarnation,
           () ->
-              carryOut(
+              execute(
                   work.measure(
                       WorkMeter.kind("", path),
                       () ->
                           peer
-                              ? core.peerRequest(now, wall(), id, method, path, body)
-                              : core.request(now, wall(), id, method, path, body)),
+                              ? core.peerRequest(now, wallClock(), id, method, path, body)
+                              : core.request(now, wallClock(), id, method, path, body)),
                   now));
     }
 
-    private void carryOut(List<Outbox.Effect> effects, long decidedAt) {
-      if (freezeBeforeOrdersMs > 0 && effects.stream().anyMatch(Node::orders)) {
+    private void execute(List<Outbox.Effect> effects, long decidedAt) {
+      if (freezeBeforeOrdersMs > 0 && effects.stream().anyMatch(Node::containsOrders)) {
         freeze(freezeBeforeOrdersMs);
         freezeBeforeOrdersMs = 0;
-        whenAwake(life, () -> carryOut(effects, decidedAt));
+        whenNotFrozen(incarnation, () -> execute(effects, decidedAt));
         return;
       }
       for (Outbox.Effect effect : effects) {
-        boolean withheld = orders(effect) && core.withholds(decidedAt, now);
-        if (orders(effect) && !withheld) {
-          noteOrders(effect);
+        boolean withheld = containsOrders(effect) && core.withholds(decidedAt, now);
+        if (containsOrders(effect) && !withheld) {
+          countMisplacedOrders(effect);
         }
         if (effect instanceof Outbox.Answer answer) {
           respond(withheld ? Outbox.Answer.withheld(answer.request()) : answer);
         } else if (effect instanceof Outbox.Call call && withheld) {
-          int mine = life;
-          after(0, () -> finish(mine, call, Outbox.NOT_SENT, new byte[0]));
+          int startedAs = incarnation;
+          after(0, () -> finish(startedAs, call, Outbox.NOT_SENT, new byte[0]));
         } else if (effect instanceof Outbox.Call call) {
           send(call);
         }
       }
     }
 
-    private static boolean orders(Outbox.Effect effect) {
+    private static boolean containsOrders(Outbox.Effect effect) {
       return effect instanceof Outbox.Answer answer && answer.orders()
           || effect instanceof Outbox.Call call && call.orders();
     }
 
     /** Counts orders that a process which has just woken sends after others have replaced it. */
-    private void noteOrders(Outbox.Effect effect) {
-      boolean woken = now >= awakeAt && now - awakeAt <= WOKEN_MS;
-      if (woken && !state.holds(label)) {
+    private void countMisplacedOrders(Outbox.Effect effect) {
+      boolean justResumed = now >= resumedAt && now - resumedAt <= RESUME_WINDOW_MS;
+      if (justResumed && !state.ownsPartition(label)) {
         staleOrders++;
       }
       JsonNode member = state.value("b/member/" + label);
       boolean leaving = member != null && member.path("leaving").asBoolean();
-      long releasedAt = probe.lastFreedOf(label);
-      if (leaving && !state.holds(label) && now - releasedAt < RELEASING_MS) {
+      long releasedAt = probe.lastClaimEndOf(label);
+      if (leaving && !state.ownsPartition(label) && now - releasedAt < RELEASE_WINDOW_MS) {
         ordersAfterRelease++;
       }
     }
 
     private void respond(Outbox.Answer answer) {
-      StateServiceStub.Respond respond = pending.remove(answer.request());
+      StateServiceStub.ResponseCallback respond = pending.remove(answer.request());
       if (respond != null) {
         respond.done(answer.status(), answer.body());
       }
     }
 
-    private void send(Outbox.Call c) {
-      int mine = life;
+    private void send(Outbox.Call call) {
+      int startedAs = incarnation;
       call(
           label,
-          c.addr(),
-          c.method(),
-          c.path(),
-          c.body(),
-          c.timeoutMs(),
-          (status, body) -> finish(mine, c, status, body));
+          call.addr(),
+          call.method(),
+          call.path(),
+          call.body(),
+          call.timeoutMs(),
+          (status, body) -> finish(startedAs, call, status, body));
     }
 
-    private void finish(int mine, Outbox.Call c, int status, byte[] body) {
-      whenAwake(
-          mine,
+    private void finish(int startedAs, Outbox.Call call, int status, byte[] body) {
+      whenNotFrozen(
+          startedAs,
           () -> {
-            carryOut(
+            execute(
                 work.measure(
-                    WorkMeter.kind(c.addr(), c.path()),
-                    () -> core.outcome(now, wall(), c.then(), status, body)),
+                    WorkMeter.kind(call.addr(), call.path()),
+                    () -> core.outcome(now, wallClock(), call.then(), status, body)),
                 now);
-            stepSoon();
+            scheduleStep();
           });
     }
   }
@@ -385,18 +389,18 @@
     }
   }
 
-  Settings settingsOf(Node n) {
+  Settings settingsOf(Node node) {
     List<Settings.Peer> peers = new ArrayList<>();
-    for (Node o : nodes.values()) {
-      if (o != n) {
-        peers.add(new Settings.Peer(o.label, o.zone, o.label + ":8081"));
+    for (Node other : nodes.values()) {
+      if (other != node) {
+        peers.add(new Settings.Peer(other.label, other.zone, other.label + ":8081"));
       }
     }
     return new Settings(
-        n.label,
-        n.zone,
-        new Settings.Endpoint(n.label, 8080),
-        new Settings.Endpoint(n.label, 8081),
+        node.label,
+        node.zone,
+        new Settings.Endpoint(node.label, 8080),
+        new Settings.Endpoint(node.label, 8081),
         peers,
         CLOUD,
         STATE,
@@ -415,38 +419,38 @@
   }
 
   /** When the next event is due. */
-  long nextEvent() {
+  long nextEventAt() {
     return events.isEmpty() ? Long.MAX_VALUE : events.peek().at();
   }
 
-  void after(long ms, Runnable action) {
-    events.add(new Event(now + Math.max(0, ms), order++, action));
+  void after(long delayMs, Runnable action) {
+    events.add(new Event(now + Math.max(0, delayMs), order++, action));
   }
 
-  void runUntil(long ms) {
-    while (!events.isEmpty() && events.peek().at() <= ms) {
-      Event e = events.poll();
-      now = e.at();
-      e.action().run();
+  void runUntil(long untilMs) {
+    while (!events.isEmpty() && events.peek().at() <= untilMs) {
+      Event event = events.poll();
+      now = event.at();
+      event.action().run();
     }
-    now = ms;
+    now = untilMs;
   }
 
-  void cut(String a, String b, Cut kind, long forMs) {
-    cuts.put(a + ">" + b, new CutState(kind, now + forMs));
+  void cut(String from, String to, Cut kind, long forMs) {
+    cuts.put(from + ">" + to, new ActiveCut(kind, now + forMs));
   }
 
-  void copies(String from, long lateMs, long forMs) {
-    copies.put(from, new long[] {lateMs, now + forMs});
+  void duplicateReports(String from, long delayMs, long forMs) {
+    duplicateReports.put(from, new long[] {delayMs, now + forMs});
   }
 
   void mute(String worker, long forMs) {
-    mute.put(worker, now + forMs);
+    mutedUntil.put(worker, now + forMs);
   }
 
-  private CutState cutOf(String a, String b) {
-    CutState c = cuts.get(a + ">" + b);
-    return c == null || c.until() <= now ? null : c;
+  private ActiveCut cutOf(String from, String to) {
+    ActiveCut c = cuts.get(from + ">" + to);
+    return c == null || c.untilMs() <= now ? null : c;
   }
 
   private static String host(String addr) {
@@ -471,36 +475,41 @@
       String path,
       byte[] body,
       long timeoutMs,
-      Outbox.Callback then) {
+      Outbox.Callback callback) {
     String to = host(addr);
-    boolean[] over = {false};
-    Outbox.Callback once =
+    boolean[] completed = {false};
+    Outbox.Callback completeOnce =
         (status, answer) -> {
-          if (!over[0]) {
-            over[0] = true;
-            then.done(status, answer);
+          if (!completed[0]) {
+            completed[0] = true;
+            callback.done(status, answer);
           }
         };
-    after(timeoutMs, () -> once.done(Outbox.NO_ANSWER, new byte[0]));
-    if (now < mute.getOrDefault(from, 0L)) {
-      after(latency(), () -> once.done(Outbox.NOT_SENT, new byte[0]));
+    after(timeoutMs, () -> completeOnce.done(Outbox.NO_ANSWER, new byte[0]));
+    if (now < mutedUntil.getOrDefault(from, 0L)) {
+      after(latency(), () -> completeOnce.done(Outbox.NOT_SENT, new byte[0]));
       return;
     }
-    long[] copy = path.equals("/checkin") ? copies.get(from) : null;
-    if (copy != null && now < copy[1]) {
-      long late = copy[0] > 0 ? copy[0] : 2_000 + random.nextInt((int) (2 * leaseMs));
-      after(late, () -> arrive(from, to, false, method, path, body, (status, answer) -> {}));
+    long[] duplication = path.equals("/checkin") ? duplicateReports.get(from) : null;
+    if (duplication != null && now < duplication[1]) {
+      long duplicateDelay =
+          duplication[0] > 0 ? duplication[0] : 2_000 + random.nextInt((int) (2 * leaseMs));
+      after(
+          duplicateDelay,
+          () -> deliver(from, to, false, method, path, body, (status, answer) -> {}));
     }
-    CutState there = cutOf(from, to);
-    if (there != null && there.kind() == Cut.DROP) {
+    ActiveCut requestCut = cutOf(from, to);
+    if (requestCut != null && requestCut.kind() == Cut.DROP) {
       return;
     }
     long delay =
-        there != null && there.kind() == Cut.HOLD ? there.until() - now + latency() : latency();
+        requestCut != null && requestCut.kind() == Cut.HOLD
+            ? requestCut.untilMs() - now + latency()
+            : latency();
     after(
         delay,
         () ->
-            arrive(
+            deliver(
                 from,
                 to,
                 addr.endsWith(":8081"),
@@ -508,27 +517,29 @@
                 path,
                 body,
                 (status, answer) -> {
-                  CutState back = cutOf(to, from);
-                  boolean lost = back != null || there != null && there.kind() == Cut.LOSE_ANSWERS;
+                  ActiveCut answerCut = cutOf(to, from);
+                  boolean lost =
+                      answerCut != null
+                          || requestCut != null && requestCut.kind() == Cut.LOSE_ANSWERS;
                   if (!lost) {
-                    after(latency(), () -> once.done(status, answer));
+                    after(latency(), () -> completeOnce.done(status, answer));
                   }
                 }));
   }
 
-  private void arrive(
+  private void deliver(
       String from,
       String to,
       boolean peer,
       String method,
       String path,
       byte[] body,
-      StateServiceStub.Respond respond) {
-    JsonNode n = peer || body == null || body.length == 0 ? Json.object() : Json.parse(body);
+      StateServiceStub.ResponseCallback respond) {
+    JsonNode request = peer || body == null || body.length == 0 ? Json.object() : Json.parse(body);
     if (to.equals("state")) {
-      state.handle(from, method, path, n, respond);
+      state.handle(from, method, path, request, respond);
     } else if (to.equals("cloud")) {
-      cloud.handle(method, path, n, respond);
+      cloud.handle(method, path, request, respond);
     } else if (nodes.containsKey(to)) {
       Node node = nodes.get(to);
       if (remote != null) {
@@ -539,7 +550,7 @@
         node.receive(peer, method, path, body == null ? new byte[0] : body, respond);
       }
     } else if (workers.containsKey(to)) {
-      workers.get(to).handle(from, method, path, n, respond);
+      workers.get(to).handle(from, method, path, request, respond);
     }
   }
 
@@ -555,8 +566,8 @@
       String method,
       String path,
       byte[] body,
-      StateServiceStub.Respond respond) {
-    arrive(from, to, false, method, path, body, respond);
+      StateServiceStub.ResponseCallback respond) {
+    deliver(from, to, false, method, path, body, respond);
   }
 
   /** The partition of a worker's machine, by the durable number of partitions. */
@@ -567,15 +578,15 @@
   }
 
   Set<String> liveLabels() {
-    Set<String> out = new HashSet<>();
+    Set<String> live = new HashSet<>();
     nodes
         .values()
         .forEach(
             n -> {
-              if (n.lives()) {
-                out.add(n.label);
+              if (n.isAlive()) {
+                live.add(n.label);
               }
             });
-    return out;
+    return live;
   }
 }
--- a/src/test/java/org/baygw/control/sim/StandbyInputsTest.java
+++ b/src/test/java/org/baygw/control/sim/StandbyInputsTest.java
@@ -13,20 +13,20 @@
 
 /** What operators and siblings get from warm standby's own requests. */
 final class StandbyInputsTest {
-  private SimulatedCluster world;
+  private SimulatedCluster cluster;
   private int status;
   private String text;
 
   private void start(int controllers, Features features) {
     Settings.Team team = new Settings.Team("red", 8, 16, 0, 0);
-    world = new SimulatedCluster(1, controllers, List.of("a", "b"), List.of(team));
-    world.features = features;
-    world.nodes.values().forEach(SimulatedCluster.Node::start);
-    world.runUntil(6_000);
+    cluster = new SimulatedCluster(1, controllers, List.of("a", "b"), List.of(team));
+    cluster.features = features;
+    cluster.nodes.values().forEach(SimulatedCluster.Node::start);
+    cluster.runUntil(6_000);
   }
 
   private JsonNode ask(String label, String method, String path, byte[] body) {
-    world.call(
+    cluster.call(
         "operator",
         label + ":8081",
         method,
@@ -37,7 +37,7 @@
           status = answered;
           text = new String(answer, StandardCharsets.UTF_8);
         });
-    world.runUntil(world.now() + 100);
+    cluster.runUntil(cluster.now() + 100);
     return Json.parse(text.getBytes(StandardCharsets.UTF_8));
   }
 
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void whereItIsOffThereIsNoSuchPath() {
+  void standbyPathsAreNotFoundWhenStandbyIsOff() {
     start(1, Features.NONE);
     ask("yurt-0", "GET", "/admin/v1/standby");
     assertEquals(404, status);
@@ -61,11 +61,11 @@
   }
 
   @Test
-  void thePageTellsOfEveryRole() {
+  void statusListsEveryRole() {
     start(3, on());
     int active = 0;
     int followed = 0;
-    for (String label : world.labels) {
+    for (String label : cluster.labels) {
       JsonNode page = ask(label, "GET", "/admin/v1/standby");
       assertEquals(200, status);
       assertEquals(7, page.path("roles").size());
@@ -84,34 +84,34 @@
   }
 
   @Test
-  void aHandoverMovesAllRolesAndCanBeTakenBack() {
+  void handoverMovesAllRolesAndCanBeReversed() {
     start(3, on());
-    String leader = world.state.value("b/claim/leader").path("owner").asText();
+    String leader = cluster.state.value("b/claim/leader").path("owner").asText();
     ask(leader, "POST", "/admin/v1/handover");
     assertEquals(202, status);
-    world.runUntil(world.now() + 3_000);
+    cluster.runUntil(cluster.now() + 3_000);
     assertEquals("released", ask(leader, "GET", "/admin/v1/standby").path("handover").asText());
-    assertTrue(!world.state.holds(leader));
-    assertTrue(!world.state.value("b/claim/leader").path("owner").asText().equals(leader));
+    assertTrue(!cluster.state.ownsPartition(leader));
+    assertTrue(!cluster.state.value("b/claim/leader").path("owner").asText().equals(leader));
     ask(leader, "DELETE", "/admin/v1/handover");
     assertEquals(200, status);
-    world.runUntil(world.now() + 6_000);
-    assertTrue(world.state.holds(leader));
+    cluster.runUntil(cluster.now() + 6_000);
+    assertTrue(cluster.state.ownsPartition(leader));
     ask(leader, "PUT", "/admin/v1/handover");
     assertEquals(405, status);
   }
 
   @Test
-  void aControllerThatIsAloneKeepsItsRoles() {
+  void singleControllerKeepsItsRoles() {
     start(1, on());
     ask("yurt-0", "POST", "/admin/v1/handover");
     assertEquals(409, status);
-    world.runUntil(world.now() + 3_000);
-    assertTrue(world.state.holds("yurt-0"));
+    cluster.runUntil(cluster.now() + 3_000);
+    assertTrue(cluster.state.ownsPartition("yurt-0"));
   }
 
   @Test
-  void whatIsNoReplicationMessageIsRefused() {
+  void refusesInvalidReplicationMessages() {
     start(3, on());
     ask("yurt-0", "POST", "/peer/replication", "nonsense".getBytes(StandardCharsets.UTF_8));
     assertEquals(400, status);
--- a/src/test/java/org/baygw/control/sim/StateServiceStub.java
+++ b/src/test/java/org/baygw/control/sim/StateServiceStub.java
@@ -13,32 +13,33 @@
 /** The state service, by its protocol. */
 final class StateServiceStub {
   /** Sends an answer. */
-  interface Respond {
+  interface ResponseCallback {
     void done(int status, byte[] body);
   }
 
   private static final String CLAIMS = "b/claim/";
   private static final String LEADER_CLAIM = CLAIMS + FailoverProbe.LEADER;
 
-  private record Item(JsonNode value, long stamp, long hold) {}
+  private record Item(JsonNode value, long revision, long leaseId) {}
 
-  private record Change(String key, JsonNode value, long stamp) {}
+  private record Change(String key, JsonNode value, long revision) {}
 
-  private record Watch(String from, String under, long after, long until, Respond respond) {}
+  private record Watch(
+      String from, String prefix, long afterRevision, long deadline, ResponseCallback respond) {}
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final TreeMap<String, Item> items = new TreeMap<>();
   private final List<Change> history = new ArrayList<>();
-  private final Map<Long, long[]> holds = new HashMap<>();
+  private final Map<Long, long[]> leases = new HashMap<>();
   private final List<Watch> watches = new ArrayList<>();
   private long revision;
-  private long nextHold;
+  private long nextLeaseId;
   private long outageUntil;
-  private final Map<String, Long> outageFor = new HashMap<>();
+  private final Map<String, Long> outageUntilByHost = new HashMap<>();
   private int keepHistory = 10_000;
-  private final double[] level = {0, 0};
-  private long levelAt;
-  private boolean limited;
+  private final double[] rateTokens = {0, 0};
+  private long rateTokensAt;
+  private boolean ratesEnforced;
 
   /** Changes asked for, by the kind of key. */
   final Map<String, Integer> writes = new TreeMap<>();
@@ -46,24 +47,24 @@
   int refusals;
 
   /** The first write that goes over a limit of the protocol, or null. */
-  String malformed;
+  String firstLimitViolation;
 
-  StateServiceStub(SimulatedCluster world) {
-    this.world = world;
+  StateServiceStub(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   void outage(String only, long ms) {
     if (only == null) {
-      outageUntil = world.now() + ms;
-      world.after(
+      outageUntil = cluster.now() + ms;
+      cluster.after(
           ms,
           () -> {
-            holds.values().forEach(h -> h[1] = world.now() + h[0]); // full time again
-            wake();
+            leases.values().forEach(h -> h[1] = cluster.now() + h[0]); // full time again
+            answerWatches();
           });
     } else {
-      outageFor.put(only, world.now() + ms);
-      world.after(ms, this::wake);
+      outageUntilByHost.put(only, cluster.now() + ms);
+      cluster.after(ms, this::answerWatches);
     }
   }
 
@@ -73,32 +74,33 @@
   /** That share of transactions gets no answer and is carried out 2 to 12 s later. */
   void lateWrites(double share, long forMs) {
     lateShare = share;
-    lateUntil = world.now() + forMs;
+    lateUntil = cluster.now() + forMs;
   }
 
   /** An answer with more changes than this takes longer than any caller waits. */
-  int backlog = Integer.MAX_VALUE;
+  int maxAnswerChanges = Integer.MAX_VALUE;
 
   /** Refuses what goes over the limits in the settings. */
-  void limit() {
-    limited = true;
-    level[0] = world.stateRps;
-    level[1] = world.stateWriteRps;
+  void enforceRates() {
+    ratesEnforced = true;
+    rateTokens[0] = cluster.stateRps;
+    rateTokens[1] = cluster.stateWriteRps;
   }
 
-  private boolean over(int changes) {
-    double[] most = {world.stateRps, world.stateWriteRps};
+  private boolean exceedsRates(int changes) {
+    double[] limits = {cluster.stateRps, cluster.stateWriteRps};
     int[] cost = {1, changes};
-    boolean over = false;
+    boolean exceeded = false;
     for (int i = 0; i < 2; i++) {
-      level[i] = Math.min(most[i], level[i] + (world.now() - levelAt) * most[i] / 1000);
-      over |= level[i] < cost[i];
+      rateTokens[i] =
+          Math.min(limits[i], rateTokens[i] + (cluster.now() - rateTokensAt) * limits[i] / 1000);
+      exceeded |= rateTokens[i] < cost[i];
     }
-    levelAt = world.now();
-    for (int i = 0; i < 2 && !over; i++) {
-      level[i] -= cost[i];
+    rateTokensAt = cluster.now();
+    for (int i = 0; i < 2 && !exceeded; i++) {
+      rateTokens[i] -= cost[i];
     }
-    return over;
+    return exceeded;
   }
 
   void keepHistory(int changes) {
@@ -110,12 +112,12 @@
     return i == null ? null : i.value();
   }
 
-  boolean has(String under) {
-    return items.keySet().stream().anyMatch(k -> k.startsWith(under));
+  boolean hasKeysUnder(String prefix) {
+    return items.keySet().stream().anyMatch(k -> k.startsWith(prefix));
   }
 
   /** Whether the controller holds the claim of a partition. */
-  boolean holds(String label) {
+  boolean ownsPartition(String label) {
     return items.entrySet().stream()
         .anyMatch(
             e ->
@@ -124,113 +126,114 @@
                     && e.getValue().value().path("owner").asText().equals(label));
   }
 
-  private boolean down(String from) {
-    return world.now() < outageUntil || world.now() < outageFor.getOrDefault(from, 0L);
+  private boolean unavailable(String from) {
+    return cluster.now() < outageUntil || cluster.now() < outageUntilByHost.getOrDefault(from, 0L);
   }
 
   private void expire() {
-    if (world.now() < outageUntil) {
+    if (cluster.now() < outageUntil) {
       return;
     }
-    List<Long> over = new ArrayList<>();
-    holds.forEach(
+    List<Long> expired = new ArrayList<>();
+    leases.forEach(
         (id, h) -> {
-          if (h[1] <= world.now()) {
-            over.add(id);
+          if (h[1] <= cluster.now()) {
+            expired.add(id);
           }
         });
-    over.forEach(this::endHold);
+    expired.forEach(this::endLease);
   }
 
-  private void endHold(long id) {
-    holds.remove(id);
+  private void endLease(long id) {
+    leases.remove(id);
     List<String> keys = new ArrayList<>();
     items.forEach(
         (k, i) -> {
-          if (i.hold() == id) {
+          if (i.leaseId() == id) {
             keys.add(k);
           }
         });
     if (!keys.isEmpty()) {
       revision++;
       keys.forEach(this::remove);
-      wake();
+      answerWatches();
     }
   }
 
   private void remove(String key) {
     items.remove(key);
     if (key.startsWith(CLAIMS)) {
-      world.probe.freed(key.substring(CLAIMS.length()));
+      cluster.probe.claimEnded(key.substring(CLAIMS.length()));
     }
     history.add(new Change(key, null, revision));
   }
 
-  void handle(String from, String method, String path, JsonNode n, Respond respond) {
+  void handle(String from, String method, String path, JsonNode request, ResponseCallback respond) {
     expire();
-    if (down(from)) {
+    if (unavailable(from)) {
       respond.done(503, Json.bytes(Json.object().put("error", "outage")));
       return;
     }
-    for (JsonNode t : n.path("then")) {
-      String key = t.path("write").asText(t.path("delete").asText());
+    for (JsonNode operation : request.path("then")) {
+      String key = operation.path("write").asText(operation.path("delete").asText());
       writes.merge(key.split("/")[1], 1, Integer::sum);
     }
-    if (n.path("then").size() > 0 && tooLarge(n)) {
+    if (request.path("then").size() > 0 && tooLarge(request)) {
       respond.done(400, Json.bytes(Json.object().put("error", "too large")));
       return;
     }
-    if (limited && over(n.path("then").size())) {
+    if (ratesEnforced && exceedsRates(request.path("then").size())) {
       refusals++;
       respond.done(429, Json.bytes(Json.object()));
       return;
     }
     String[] split = path.split("\\?", 2);
-    Map<String, String> q = new HashMap<>();
+    Map<String, String> query = new HashMap<>();
     if (split.length > 1) {
       for (String p : split[1].split("&")) {
         int eq = p.indexOf('=');
-        q.put(p.substring(0, eq), p.substring(eq + 1));
+        query.put(p.substring(0, eq), p.substring(eq + 1));
       }
     }
-    String at = split[0];
-    if (at.equals("/kv")) {
-      list(q, respond);
-    } else if (at.equals("/txn")) {
-      if (world.now() < lateUntil && world.random.nextDouble() < lateShare) {
-        world.after(2_000 + world.random.nextInt(10_000), () -> txn(n, (status, body) -> {}));
+    String endpoint = split[0];
+    if (endpoint.equals("/kv")) {
+      list(query, respond);
+    } else if (endpoint.equals("/txn")) {
+      if (cluster.now() < lateUntil && cluster.random.nextDouble() < lateShare) {
+        cluster.after(
+            2_000 + cluster.random.nextInt(10_000), () -> txn(request, (status, body) -> {}));
       } else {
-        txn(n, respond);
+        txn(request, respond);
       }
-    } else if (at.equals("/watch")) {
-      Watch w =
+    } else if (endpoint.equals("/watch")) {
+      Watch watch =
           new Watch(
               from,
-              q.get("under"),
-              Long.parseLong(q.get("after")),
-              world.now() + Long.parseLong(q.getOrDefault("waitMs", "0")),
+              query.get("under"),
+              Long.parseLong(query.get("after")),
+              cluster.now() + Long.parseLong(query.getOrDefault("waitMs", "0")),
               respond);
-      if (!answer(w, false)) {
-        watches.add(w);
-        world.after(w.until() - world.now(), this::wake);
+      if (!answer(watch, false)) {
+        watches.add(watch);
+        cluster.after(watch.deadline() - cluster.now(), this::answerWatches);
       }
-    } else if (at.equals("/holds")) {
-      long id = ++nextHold;
-      long ttl = n.path("ttlMs").asLong();
-      holds.put(id, new long[] {ttl, world.now() + ttl});
-      world.after(ttl + 50, this::expire);
+    } else if (endpoint.equals("/holds")) {
+      long id = ++nextLeaseId;
+      long ttl = request.path("ttlMs").asLong();
+      leases.put(id, new long[] {ttl, cluster.now() + ttl});
+      cluster.after(ttl + 50, this::expire);
       respond.done(200, Json.bytes(Json.object().put("hold", id)));
-    } else if (at.startsWith("/holds/")) {
-      long id = Long.parseLong(at.split("/")[2]);
-      if (!holds.containsKey(id)) {
+    } else if (endpoint.startsWith("/holds/")) {
+      long id = Long.parseLong(endpoint.split("/")[2]);
+      if (!leases.containsKey(id)) {
         respond.done(404, Json.bytes(Json.object()));
       } else if (method.equals("DELETE")) {
-        endHold(id);
+        endLease(id);
         respond.done(200, Json.bytes(Json.object()));
       } else {
-        long[] h = holds.get(id);
-        h[1] = world.now() + h[0];
-        world.after(h[0] + 50, this::expire);
+        long[] lease = leases.get(id);
+        lease[1] = cluster.now() + lease[0];
+        cluster.after(lease[0] + 50, this::expire);
         respond.done(200, Json.bytes(Json.object().put("hold", id)));
       }
     } else {
@@ -239,34 +242,34 @@
   }
 
   /** The protocol's limits of a transaction: changes, conditions, bytes, bytes of a value. */
-  private boolean tooLarge(JsonNode n) {
-    int ops = world.stateTxnOps;
-    String what = null;
-    if (n.path("then").size() > ops || n.path("when").size() > 4 * ops) {
-      what =
-          n.path("then").size()
+  private boolean tooLarge(JsonNode request) {
+    int ops = cluster.stateTxnOps;
+    String violation = null;
+    if (request.path("then").size() > ops || request.path("when").size() > 4 * ops) {
+      violation =
+          request.path("then").size()
               + " changes and "
-              + n.path("when").size()
+              + request.path("when").size()
               + " conditions: "
-              + n.path("then").findValuesAsText("write")
-              + n.path("then").findValuesAsText("delete");
+              + request.path("then").findValuesAsText("write")
+              + request.path("then").findValuesAsText("delete");
     }
-    int all = Json.bytes(n).length;
-    if (all > 64 * 1024) {
-      what = all + " bytes";
+    int requestSize = Json.bytes(request).length;
+    if (requestSize > 64 * 1024) {
+      violation = requestSize + " bytes";
     }
-    for (JsonNode t : n.path("then")) {
-      int size = t.has("value") ? Json.bytes(t.path("value")).length : 0;
-      if (size > world.stateValueKb * 1024) {
-        what = size + " bytes of " + t.path("write").asText();
+    for (JsonNode operation : request.path("then")) {
+      int size = operation.has("value") ? Json.bytes(operation.path("value")).length : 0;
+      if (size > cluster.stateValueKb * 1024) {
+        violation = size + " bytes of " + operation.path("write").asText();
       }
     }
-    malformed = malformed == null ? what : malformed;
-    return what != null;
+    firstLimitViolation = firstLimitViolation == null ? violation : firstLimitViolation;
+    return violation != null;
   }
 
   /** Most pages that a partition's record has. */
-  int mostPages() {
+  int maxPages() {
     return items.entrySet().stream()
         .filter(e -> e.getKey().startsWith("b/run/"))
         .mapToInt(e -> e.getValue().value().path("pages").asInt(1))
@@ -274,39 +277,41 @@
         .orElse(0);
   }
 
-  private void list(Map<String, String> q, Respond respond) {
+  private void list(Map<String, String> query, ResponseCallback respond) {
     ObjectNode out = Json.object().put("ledgerRev", revision);
     ArrayNode entries = out.putArray("entries");
-    int page = Integer.parseInt(q.getOrDefault("page", "1000"));
+    int page = Integer.parseInt(query.getOrDefault("page", "1000"));
     boolean more = false;
-    for (Map.Entry<String, Item> e : items.tailMap(q.getOrDefault("after", ""), false).entrySet()) {
-      if (!e.getKey().startsWith(q.get("under"))) {
+    for (Map.Entry<String, Item> entry :
+        items.tailMap(query.getOrDefault("after", ""), false).entrySet()) {
+      if (!entry.getKey().startsWith(query.get("under"))) {
         continue;
       }
       if (entries.size() == page) {
         more = true;
         break;
       }
-      ObjectNode o = entries.addObject().put("key", e.getKey()).put("stamp", e.getValue().stamp());
-      o.set("value", e.getValue().value());
+      ObjectNode listed =
+          entries.addObject().put("key", entry.getKey()).put("stamp", entry.getValue().revision());
+      listed.set("value", entry.getValue().value());
     }
     respond.done(200, Json.bytes(out.put("more", more)));
   }
 
-  private void txn(JsonNode n, Respond respond) {
+  private void txn(JsonNode request, ResponseCallback respond) {
     ObjectNode fail = Json.object();
     ArrayNode failed = fail.putArray("failed");
-    for (JsonNode t : n.path("then")) {
-      long hold = t.path("hold").asLong();
-      if (hold != 0 && !holds.containsKey(hold)) {
+    for (JsonNode operation : request.path("then")) {
+      long leaseId = operation.path("hold").asLong();
+      if (leaseId != 0 && !leases.containsKey(leaseId)) {
         respond.done(400, Json.bytes(Json.object().put("error", "no such lease")));
         return;
       }
     }
-    for (JsonNode w : n.path("when")) {
-      Item i = items.get(w.path("key").asText());
-      if ((i == null ? 0 : i.stamp()) != w.path("stamp").asLong()) {
-        failed.add(w.path("key"));
+    for (JsonNode condition : request.path("when")) {
+      Item item = items.get(condition.path("key").asText());
+      if ((item == null ? 0 : item.revision()) != condition.path("stamp").asLong()) {
+        failed.add(condition.path("key"));
       }
     }
     if (!failed.isEmpty()) {
@@ -314,44 +319,48 @@
       return;
     }
     revision++;
-    for (JsonNode t : n.path("then")) {
-      if (t.has("write")) {
-        String key = t.path("write").asText();
-        items.put(key, new Item(t.path("value"), revision, t.path("hold").asLong()));
+    for (JsonNode operation : request.path("then")) {
+      if (operation.has("write")) {
+        String key = operation.path("write").asText();
+        items.put(
+            key, new Item(operation.path("value"), revision, operation.path("hold").asLong()));
         if (key.startsWith(CLAIMS)) {
-          world.probe.claimed(key.substring(CLAIMS.length()), t.path("value"), revision);
+          cluster.probe.claimed(key.substring(CLAIMS.length()), operation.path("value"), revision);
         }
-        history.add(new Change(key, t.path("value"), revision));
-      } else if (items.containsKey(t.path("delete").asText())) {
-        remove(t.path("delete").asText());
+        history.add(new Change(key, operation.path("value"), revision));
+      } else if (items.containsKey(operation.path("delete").asText())) {
+        remove(operation.path("delete").asText());
       }
     }
-    noteGrant(n);
-    wake();
+    noteGrant(request);
+    answerWatches();
     respond.done(200, Json.bytes(Json.object().put("ledgerRev", revision)));
   }
 
-  private void noteGrant(JsonNode n) {
+  private void noteGrant(JsonNode request) {
     long epoch = 0;
-    for (JsonNode w : n.path("when")) {
-      epoch = w.path("key").asText().equals(LEADER_CLAIM) ? w.path("stamp").asLong() : epoch;
+    for (JsonNode condition : request.path("when")) {
+      epoch =
+          condition.path("key").asText().equals(LEADER_CLAIM)
+              ? condition.path("stamp").asLong()
+              : epoch;
     }
     boolean grants = false;
-    for (JsonNode t : n.path("then")) {
-      grants |= t.path("write").asText().startsWith("b/prog/");
+    for (JsonNode operation : request.path("then")) {
+      grants |= operation.path("write").asText().startsWith("b/prog/");
     }
     if (grants && epoch > 0) {
-      world.probe.granted(epoch);
+      cluster.probe.granted(epoch);
     }
   }
 
   /** Where the changes after a revision begin. */
-  private int firstAfter(long rev) {
+  private int indexAfter(long afterRevision) {
     int low = 0;
     int high = history.size();
     while (low < high) {
       int mid = (low + high) / 2;
-      if (history.get(mid).stamp() > rev) {
+      if (history.get(mid).revision() > afterRevision) {
         high = mid;
       } else {
         low = mid + 1;
@@ -360,38 +369,38 @@
     return low;
   }
 
-  private void wake() {
+  private void answerWatches() {
     watches.removeIf(w -> answer(w, true));
   }
 
-  private boolean answer(Watch w, boolean open) {
-    if (open && down(w.from())) {
+  private boolean answer(Watch watch, boolean open) {
+    if (open && unavailable(watch.from())) {
       return false; // open watches stay open in an outage
     }
     int from = Math.max(0, history.size() - keepHistory);
-    if (from > 0 && w.after() < history.get(from).stamp() - 1) {
-      w.respond().done(410, Json.bytes(Json.object()));
+    if (from > 0 && watch.afterRevision() < history.get(from).revision() - 1) {
+      watch.respond().done(410, Json.bytes(Json.object()));
       return true;
     }
     ObjectNode out = Json.object().put("ledgerRev", revision);
     ArrayNode events = out.putArray("events");
-    for (Change c : history.subList(firstAfter(w.after()), history.size())) {
-      if (c.key().startsWith(w.under())) {
-        ObjectNode o = events.addObject().put("stamp", c.stamp());
-        if (c.value() == null) {
-          o.put("delete", c.key());
+    for (Change change : history.subList(indexAfter(watch.afterRevision()), history.size())) {
+      if (change.key().startsWith(watch.prefix())) {
+        ObjectNode event = events.addObject().put("stamp", change.revision());
+        if (change.value() == null) {
+          event.put("delete", change.key());
         } else {
-          o.put("write", c.key()).set("value", c.value());
+          event.put("write", change.key()).set("value", change.value());
         }
       }
     }
-    if (events.isEmpty() && world.now() < w.until()) {
+    if (events.isEmpty() && cluster.now() < watch.deadline()) {
       return false;
     }
-    if (events.size() > backlog) {
+    if (events.size() > maxAnswerChanges) {
       return true;
     }
-    w.respond().done(200, Json.bytes(out));
+    watch.respond().done(200, Json.bytes(out));
     return true;
   }
 }
--- a/src/test/java/org/baygw/control/sim/WorkerStub.java
+++ b/src/test/java/org/baygw/control/sim/WorkerStub.java
@@ -14,350 +14,361 @@
 /** A worker, by its protocol. */
 final class WorkerStub {
   /** One attempt at a task. */
-  static final class Run {
+  static final class Attempt {
     final String task;
-    final int attempt;
+    final int number;
     String status;
     String cause;
     boolean kept;
-    int life;
+    int generation;
 
-    Run(String task, int attempt) {
+    Attempt(String task, int number) {
       this.task = task;
-      this.attempt = attempt;
+      this.number = number;
     }
 
-    boolean on() {
+    boolean isActive() {
       return status.equals("running") || status.equals("saving");
     }
   }
 
-  final SimulatedCluster world;
+  final SimulatedCluster cluster;
   final String name;
   final String zone;
   final boolean spot;
-  private final Map<String, Run> runs = new LinkedHashMap<>();
+  private final Map<String, Attempt> attempts = new LinkedHashMap<>();
   private final Set<String> images = new HashSet<>();
   private long session = 1;
   private long tick;
   private long token;
-  private long answeredSent;
-  private int node;
-  private boolean reporting;
+  private long lastAnsweredReportAt;
+  private int controllerIndex;
+  private boolean reportInFlight;
   private boolean dead;
   private boolean hung;
-  private long lastReport = -10_000;
+  private long lastReportAt = -10_000;
   private boolean changed;
-  private final List<Runnable> whileHung = new ArrayList<>();
+  private final List<Runnable> deferredWhileHung = new ArrayList<>();
   boolean sick;
-  Long noticeUntil;
+  Long reclaimAt;
 
-  WorkerStub(SimulatedCluster world, String name, String zone, boolean spot) {
-    this.world = world;
+  WorkerStub(SimulatedCluster cluster, String name, String zone, boolean spot) {
+    this.cluster = cluster;
     this.name = name;
     this.zone = zone;
     this.spot = spot;
   }
 
   void start() {
-    answeredSent = world.now();
-    node = world.random.nextInt(world.labels.size());
-    pulse();
+    lastAnsweredReportAt = cluster.now();
+    controllerIndex = cluster.random.nextInt(cluster.labels.size());
+    runPeriodically();
   }
 
-  void gone() {
+  void remove() {
     dead = true;
-    world.checker.unstuck(this);
-    List.copyOf(runs.values()).forEach(r -> leave(r));
-    runs.clear();
+    cluster.checker.clearHung(this);
+    List.copyOf(attempts.values()).forEach(r -> stop(r));
+    attempts.clear();
   }
 
   void hang(long ms) {
     hung = true;
-    world.after(
+    cluster.after(
         ms,
         () -> {
           hung = false;
-          world.checker.unstuck(this);
-          whileHung.forEach(Runnable::run);
-          whileHung.clear();
+          cluster.checker.clearHung(this);
+          deferredWhileHung.forEach(Runnable::run);
+          deferredWhileHung.clear();
         });
   }
 
   /** CPUs that no task takes; none where the machine is gone. */
   double freeCpus() {
     double free = dead || sick ? 0 : 16;
-    for (Run r : runs.values()) {
-      free -= r.cause == null ? world.checker.job(r.task).cpus() : 0;
+    for (Attempt attempt : attempts.values()) {
+      free -= attempt.cause == null ? cluster.checker.job(attempt.task).cpus() : 0;
     }
     return free;
   }
 
-  Map<String, Run> runs() {
-    return runs;
+  Map<String, Attempt> attempts() {
+    return attempts;
   }
 
-  private void pulse() {
+  private void runPeriodically() {
     if (dead) {
       return;
     }
-    long now = world.now();
+    long now = cluster.now();
     // A hanging machine goes on with its tasks within its lease only: after it they are over.
-    if (now - answeredSent > world.leaseMs) {
+    if (now - lastAnsweredReportAt > cluster.leaseMs) {
       if (hung) {
-        runs.values().stream().filter(Run::on).forEach(r -> world.checker.stuck(this, r.task));
+        attempts.values().stream()
+            .filter(Attempt::isActive)
+            .forEach(r -> cluster.checker.lostWhileHung(this, r.task));
       }
-      List.copyOf(runs.values()).forEach(this::leave);
-      runs.clear();
+      List.copyOf(attempts.values()).forEach(this::stop);
+      attempts.clear();
       session++;
       tick = 0;
-      answeredSent = now;
+      lastAnsweredReportAt = now;
       changed = true;
     }
     long period =
-        SimulatedCluster.REPORT_MS * 3 / 4 + world.random.nextInt(SimulatedCluster.REPORT_MS / 2);
-    if (!hung && !reporting && (now - lastReport >= period || changed && now - lastReport >= 500)) {
+        SimulatedCluster.REPORT_MS * 3 / 4 + cluster.random.nextInt(SimulatedCluster.REPORT_MS / 2);
+    if (!hung
+        && !reportInFlight
+        && (now - lastReportAt >= period || changed && now - lastReportAt >= 500)) {
       report();
     }
-    world.after(100, this::pulse);
+    cluster.after(100, this::runPeriodically);
   }
 
   private void report() {
-    reporting = true;
+    reportInFlight = true;
     changed = false;
-    lastReport = world.now();
-    long sent = world.now();
-    long mine = session;
-    ObjectNode n = describe();
-    String label = world.labels.get(node);
-    world.call(
+    lastReportAt = cluster.now();
+    long sentAt = cluster.now();
+    long sentInSession = session;
+    ObjectNode report = describe();
+    String label = cluster.labels.get(controllerIndex);
+    cluster.call(
         name,
         label + ":8080",
         "POST",
         "/checkin",
-        Json.bytes(n),
+        Json.bytes(report),
         4_000,
         (status, body) -> {
           if (hung) {
-            whileHung.add(() -> answered(label, status, body, sent, mine));
+            deferredWhileHung.add(() -> reportAnswered(label, status, body, sentAt, sentInSession));
           } else {
-            answered(label, status, body, sent, mine);
+            reportAnswered(label, status, body, sentAt, sentInSession);
           }
         });
   }
 
-  private void answered(String label, int status, byte[] body, long sent, long mine) {
+  private void reportAnswered(
+      String label, int status, byte[] body, long sentAt, long sentInSession) {
     if (dead) {
       return;
     }
-    JsonNode a = Json.parse(body);
+    JsonNode answer = Json.parse(body);
     if (status == 200) {
-      reporting = false;
-      if (mine != session
-          || world.now() - sent > 4_000
-          || a.path("baton").asLong() < token
-          || !a.has("baton")) {
+      reportInFlight = false;
+      if (sentInSession != session
+          || cluster.now() - sentAt > 4_000
+          || answer.path("baton").asLong() < token
+          || !answer.has("baton")) {
         return;
       }
-      accept(a, label);
-      answeredSent = sent;
-      execute(a.path("orders"));
+      accept(answer, label);
+      lastAnsweredReportAt = sentAt;
+      execute(answer.path("orders"));
     } else {
-      int home = status == 421 ? world.labels.indexOf(a.path("home").asText("")) : -1;
-      boolean known = home >= 0 && home != node;
-      node = known ? home : (node + 1) % world.labels.size();
-      world.after(
+      int home = status == 421 ? cluster.labels.indexOf(answer.path("home").asText("")) : -1;
+      boolean known = home >= 0 && home != controllerIndex;
+      controllerIndex = known ? home : (controllerIndex + 1) % cluster.labels.size();
+      cluster.after(
           known ? 100 : 1_000,
           () -> {
-            reporting = false;
-            lastReport = -10_000;
+            reportInFlight = false;
+            lastReportAt = -10_000;
           });
     }
   }
 
   /** Takes the token of a message whose orders are about to be carried out. */
   private void accept(JsonNode message, String from) {
-    long t = message.path("baton").asLong();
+    long newToken = message.path("baton").asLong();
     boolean launches = false;
-    for (JsonNode o : message.path("orders")) {
-      launches |= o.path("verb").asText().equals("launch");
+    for (JsonNode order : message.path("orders")) {
+      launches |= order.path("verb").asText().equals("launch");
     }
-    world.probe.accepted(world.partitionOf(this), t, launches);
-    world.checker.obeyed(name, t, from);
-    if (t > token) {
-      token = t;
+    cluster.probe.accepted(cluster.partitionOf(this), newToken, launches);
+    cluster.checker.obeyed(name, newToken, from);
+    if (newToken > token) {
+      token = newToken;
       changed = true;
     }
   }
 
   private ObjectNode describe() {
-    ObjectNode n = Json.object().put("host", name).put("address", world.address(name));
-    n.put("build", CloudStub.TYPE).put("yard", zone).put("loaners", spot);
-    n.put("stint", session).put("tick", ++tick).put("baton", token);
-    if (noticeUntil != null) {
-      n.put("warningS", (noticeUntil - world.now()) / 1000.0);
+    ObjectNode description = Json.object().put("host", name).put("address", cluster.address(name));
+    description.put("build", CloudStub.TYPE).put("yard", zone).put("loaners", spot);
+    description.put("stint", session).put("tick", ++tick).put("baton", token);
+    if (reclaimAt != null) {
+      description.put("warningS", (reclaimAt - cluster.now()) / 1000.0);
     }
-    ArrayNode chores = n.putArray("chores");
-    for (Run r : runs.values()) {
-      ObjectNode o = chores.addObject().put("chore", r.task).put("try", r.attempt);
-      o.put("status", r.status);
-      if (r.cause != null) {
-        o.put("cause", r.cause).put("kept", r.kept);
+    ArrayNode chores = description.putArray("chores");
+    for (Attempt attempt : attempts.values()) {
+      ObjectNode chore = chores.addObject().put("chore", attempt.task).put("try", attempt.number);
+      chore.put("status", attempt.status);
+      if (attempt.cause != null) {
+        chore.put("cause", attempt.cause).put("kept", attempt.kept);
       }
     }
-    return n;
+    return description;
   }
 
   void handle(
-      String from, String method, String path, JsonNode n, StateServiceStub.Respond respond) {
+      String from,
+      String method,
+      String path,
+      JsonNode request,
+      StateServiceStub.ResponseCallback respond) {
     if (dead) {
       return;
     }
     if (hung) {
-      whileHung.add(() -> handle(from, method, path, n, respond));
+      deferredWhileHung.add(() -> handle(from, method, path, request, respond));
       return;
     }
     if (path.equals("/show")) {
       respond.done(200, Json.bytes(describe()));
-    } else if (!n.has("baton") || !n.has("stint")) {
+    } else if (!request.has("baton") || !request.has("stint")) {
       respond.done(400, Json.bytes(Json.object()));
-    } else if (n.path("baton").asLong() < token || n.path("stint").asLong() != session) {
+    } else if (request.path("baton").asLong() < token
+        || request.path("stint").asLong() != session) {
       respond.done(409, Json.bytes(describe()));
     } else {
-      accept(n, from);
-      execute(n.path("orders"));
+      accept(request, from);
+      execute(request.path("orders"));
       respond.done(200, Json.bytes(describe()));
     }
   }
 
   private void execute(JsonNode orders) {
-    for (JsonNode o : orders) {
-      String task = o.path("chore").asText();
-      int attempt = o.path("try").asInt();
-      Run there = runs.get(task);
-      switch (o.path("verb").asText()) {
+    for (JsonNode order : orders) {
+      String task = order.path("chore").asText();
+      int number = order.path("try").asInt();
+      Attempt existing = attempts.get(task);
+      switch (order.path("verb").asText()) {
         case "launch" -> {
-          if (there == null) {
-            launch(task, attempt);
-          } else if (there.attempt != attempt && there.cause != null) {
-            runs.remove(task);
-            launch(task, attempt);
+          if (existing == null) {
+            launch(task, number);
+          } else if (existing.number != number && existing.cause != null) {
+            attempts.remove(task);
+            launch(task, number);
           }
         }
         case "kill" -> {
-          if (there != null && there.attempt == attempt && there.cause == null) {
-            kill(there, o.path("windDownS").asDouble());
+          if (existing != null && existing.number == number && existing.cause == null) {
+            kill(existing, order.path("windDownS").asDouble());
           }
         }
         case "forget" -> {
-          if (there != null && there.attempt == attempt && there.cause != null) {
-            runs.remove(task);
+          if (existing != null && existing.number == number && existing.cause != null) {
+            attempts.remove(task);
           }
         }
-        default -> throw new IllegalStateException("an order that workers do not know: " + o);
+        default -> throw new IllegalStateException("an order that workers do not know: " + order);
       }
     }
   }
 
   /** Starts a task at once that no controller asked for. */
-  void force(String task) {
-    images.add(world.checker.job(task).image());
+  void launchUnrequested(String task) {
+    images.add(cluster.checker.job(task).image());
     launch(task, 99);
   }
 
-  private void launch(String task, int attempt) {
-    Run r = new Run(task, attempt);
-    runs.put(task, r);
+  private void launch(String task, int number) {
+    Attempt attempt = new Attempt(task, number);
+    attempts.put(task, attempt);
     changed = true;
-    InvariantChecker.Submitted job = world.checker.job(task);
+    InvariantChecker.Submitted job = cluster.checker.job(task);
     if (job == null) {
-      end(r, "no_such");
+      end(attempt, "no_such");
       return;
     }
     double used = job.cpus();
-    for (Run o : runs.values()) {
-      if (o != r && o.cause == null) {
-        used += world.checker.job(o.task).cpus();
+    for (Attempt other : attempts.values()) {
+      if (other != attempt && other.cause == null) {
+        used += cluster.checker.job(other.task).cpus();
       }
     }
     if (used > 16) {
-      end(r, "no_room");
+      end(attempt, "no_room");
       return;
     }
-    r.status = "fetching";
+    attempt.status = "fetching";
     long fetch = images.contains(job.image()) ? 0 : 1_000;
-    int life = ++r.life;
-    world.after(
+    int generation = ++attempt.generation;
+    cluster.after(
         fetch,
         () -> {
-          if (r.life == life && !dead && r.cause == null) {
+          if (attempt.generation == generation && !dead && attempt.cause == null) {
             images.add(job.image());
-            begin(r, job);
+            begin(attempt, job);
           }
         });
   }
 
-  private void begin(Run r, InvariantChecker.Submitted job) {
-    r.status = "running";
+  private void begin(Attempt attempt, InvariantChecker.Submitted job) {
+    attempt.status = "running";
     changed = true;
-    world.checker.started(this, r.task);
-    int life = ++r.life;
-    if (world.checker.completed(r.task)) {
-      end(r, "done");
+    cluster.checker.taskStarted(this, attempt.task);
+    int generation = ++attempt.generation;
+    if (cluster.checker.completed(attempt.task)) {
+      end(attempt, "done");
     } else if (sick || job.mistaken()) {
-      world.after(200, () -> finish(r, life, "error"));
+      cluster.after(200, () -> finish(attempt, generation, "error"));
     } else if (!job.service()) {
-      world.after(world.checker.left(r.task), () -> finish(r, life, "done"));
+      cluster.after(
+          cluster.checker.remainingMs(attempt.task), () -> finish(attempt, generation, "done"));
     }
   }
 
-  private void finish(Run r, int life, String cause) {
-    if (dead || r.life != life || r.cause != null) {
+  private void finish(Attempt attempt, int generation, String cause) {
+    if (dead || attempt.generation != generation || attempt.cause != null) {
       return;
     }
     if (hung) {
-      whileHung.add(() -> finish(r, life, cause));
+      deferredWhileHung.add(() -> finish(attempt, generation, cause));
       return;
     }
     if (cause.equals("done")) {
-      world.checker.taskDone(r.task);
+      cluster.checker.taskDone(attempt.task);
     }
-    end(r, cause);
+    end(attempt, cause);
   }
 
-  private void kill(Run r, double graceS) {
-    InvariantChecker.Submitted job = world.checker.job(r.task);
-    r.life++;
-    if (r.status.equals("running") && job.saves() && graceS >= 1) {
-      r.status = "saving";
+  private void kill(Attempt attempt, double graceS) {
+    InvariantChecker.Submitted job = cluster.checker.job(attempt.task);
+    attempt.generation++;
+    if (attempt.status.equals("running") && job.saves() && graceS >= 1) {
+      attempt.status = "saving";
       changed = true;
-      int life = r.life;
-      world.after(
+      int generation = attempt.generation;
+      cluster.after(
           1_000,
           () -> {
-            if (r.life == life) {
-              r.kept = true;
-              world.checker.saved(r.task);
-              end(r, "halted");
+            if (attempt.generation == generation) {
+              attempt.kept = true;
+              cluster.checker.checkpointSaved(attempt.task);
+              end(attempt, "halted");
             }
           });
     } else {
-      end(r, "halted");
+      end(attempt, "halted");
     }
   }
 
-  private void end(Run r, String cause) {
-    leave(r);
-    r.status = "ended";
-    r.cause = cause;
-    r.life++;
+  private void end(Attempt attempt, String cause) {
+    stop(attempt);
+    attempt.status = "ended";
+    attempt.cause = cause;
+    attempt.generation++;
     changed = true;
   }
 
-  private void leave(Run r) {
-    if (r.status != null && r.on()) {
-      world.checker.left(this, r.task);
+  private void stop(Attempt attempt) {
+    if (attempt.status != null && attempt.isActive()) {
+      cluster.checker.taskLeft(this, attempt.task);
     }
-    r.life++;
+    attempt.generation++;
   }
 }
