--- a/src/test/java/org/baygw/control/sim/CloudStub.java
+++ b/src/test/java/org/baygw/control/sim/CloudStub.java
@@ -129,8 +129,8 @@
     } else if (path.equals("/machine_types")) {
       respond.done(200, types());
     } else if (path.equals("/machines/return")) {
-      for (JsonNode h : request.path("hosts")) {
-        remove(h.asText());
+      for (JsonNode host : request.path("hosts")) {
+        remove(host.asText());
       }
       respond.done(200, Json.bytes(Json.object()));
     } else if (method.equals("POST")) {
--- a/src/test/java/org/baygw/control/sim/FailoverOnLoopback.java
+++ b/src/test/java/org/baygw/control/sim/FailoverOnLoopback.java
@@ -38,8 +38,8 @@
       played.add(threads.submit(() -> play(scenarioSeed, source.text(scenarioSeed))));
     }
     List<Scenario> scenarios = new ArrayList<>();
-    for (Future<Scenario> one : played) {
-      scenarios.add(one.get());
+    for (Future<Scenario> scenario : played) {
+      scenarios.add(scenario.get());
     }
     threads.shutdown();
     return scenarios;
--- a/src/test/java/org/baygw/control/sim/InputsTest.java
+++ b/src/test/java/org/baygw/control/sim/InputsTest.java
@@ -78,14 +78,14 @@
           'yard':null        | 'yard':'z'           | 422 | no allowed machine type
           'accelerators':0   | 'accelerators':1     | 422 | no allowed machine type
           """)
-  void refusalNamesTheInvalidField(String from, String to, int expected, String why) {
+  void refusalNamesTheInvalidField(String from, String to, int expected, String errorPrefix) {
     String job = JOB.replace('\'', '"');
     // The quotes of the table are read as plain text.
-    String f = from.replace('\'', '"');
-    assertTrue(job.contains(f), from);
-    ask(8080, "POST", "/v1/jobs", job.replace(f, to.replace('\'', '"')));
+    String quotedFrom = from.replace('\'', '"');
+    assertTrue(job.contains(quotedFrom), from);
+    ask(8080, "POST", "/v1/jobs", job.replace(quotedFrom, to.replace('\'', '"')));
     assertEquals(expected, status, to);
-    assertTrue(body.path("error").asText().startsWith(why), body.toString());
+    assertTrue(body.path("error").asText().startsWith(errorPrefix), body.toString());
   }
 
   @Test
@@ -158,9 +158,9 @@
     cluster.runUntil(cluster.now() + 40_000);
     ask(8081, "GET", "/admin/v1/machines", "");
     assertEquals(2, body.path("machines").size());
-    for (JsonNode m : body.path("machines")) {
-      assertTrue(!m.path("name").asText().equals(name), "it is still there");
-      assertEquals(1, m.path("tasks").size());
+    for (JsonNode machine : body.path("machines")) {
+      assertTrue(!machine.path("name").asText().equals(name), "it is still there");
+      assertEquals(1, machine.path("tasks").size());
     }
     ask(8081, "GET", "/admin/v1/members", "");
     assertEquals("yurt-0", body.path("leader").asText());
--- a/src/test/java/org/baygw/control/sim/InvariantChecker.java
+++ b/src/test/java/org/baygw/control/sim/InvariantChecker.java
@@ -59,8 +59,8 @@
     this.cluster = cluster;
   }
 
-  void submitted(Submitted s) {
-    jobs.put(s.id(), s);
+  void submitted(Submitted job) {
+    jobs.put(job.id(), job);
   }
 
   Submitted job(String task) {
@@ -148,17 +148,17 @@
 
   private boolean hasCapacityFor(Submitted job) {
     double used = milliCpusInUse.getOrDefault(job.team(), 0L) / 1000.0;
-    for (Settings.Team t : cluster.teams) {
-      if (t.name().equals(job.team()) && used + job.cpus() > t.cpusMax()) {
+    for (Settings.Team team : cluster.teams) {
+      if (team.name().equals(job.team()) && used + job.cpus() > team.cpusMax()) {
         return false;
       }
     }
     return cluster.workers.values().stream()
         .anyMatch(
-            w ->
-                w.freeCpus() >= job.cpus()
-                    && (!w.spot || job.spot())
-                    && (job.zone() == null || job.zone().equals(w.zone)));
+            worker ->
+                worker.freeCpus() >= job.cpus()
+                    && (!worker.spot || job.spot())
+                    && (job.zone() == null || job.zone().equals(worker.zone)));
   }
 
   void checkForgotten(long faultsEndAt) {
@@ -200,8 +200,8 @@
     }
   }
 
-  private void recordViolation(String rule, String what) {
-    violations.add(rule + ": " + what);
+  private void recordViolation(String rule, String subject) {
+    violations.add(rule + ": " + subject);
   }
 
   void taskStarted(WorkerStub worker, String task) {
@@ -238,8 +238,8 @@
       recordViolation("wrong_place", task);
     }
     double used = milliCpusInUse.get(job.team()) / 1000.0;
-    for (Settings.Team t : cluster.teams) {
-      if (t.name().equals(job.team()) && used > t.cpusMax() + 1e-6) {
+    for (Settings.Team team : cluster.teams) {
+      if (team.name().equals(job.team()) && used > team.cpusMax() + 1e-6) {
         recordViolation("quota", job.team());
       }
     }
@@ -263,12 +263,12 @@
   /** Tasks whose lease ended while their machine hung: for a cancellation they are still there. */
   private final Map<WorkerStub, Set<String>> jobsOnHungMachines = new HashMap<>();
 
-  void lostWhileHung(WorkerStub w, String task) {
-    jobsOnHungMachines.computeIfAbsent(w, k -> new HashSet<>()).add(job(task).id());
+  void lostWhileHung(WorkerStub worker, String task) {
+    jobsOnHungMachines.computeIfAbsent(worker, k -> new HashSet<>()).add(job(task).id());
   }
 
-  void clearHung(WorkerStub w) {
-    jobsOnHungMachines.remove(w);
+  void clearHung(WorkerStub worker) {
+    jobsOnHungMachines.remove(worker);
   }
 
   /** The highest epoch in which each worker has obeyed. */
--- a/src/test/java/org/baygw/control/sim/ProcessScenarios.java
+++ b/src/test/java/org/baygw/control/sim/ProcessScenarios.java
@@ -46,56 +46,56 @@
   /** Kills, pauses, orderly ends and cancellations, back to back. */
   static String random(long seed, int seconds) {
     Random random = new Random(seed);
-    StringBuilder day = new StringBuilder(setUp(seed));
+    StringBuilder lines = new StringBuilder(setUp(seed));
     double lastFault = seconds - 35;
-    day.append(
+    lines.append(
         String.format(
             Locale.ROOT, "at 4 every 0.5 until %.1f submit run-# tasks=2 run=5%n", lastFault));
     for (double at = 10; at < lastFault; at += 2.5 + random.nextDouble() * 5) {
       double span = 0.2 + random.nextDouble() * (random.nextBoolean() ? 2 : 9);
-      String one = "yurt-" + random.nextInt(3);
-      String act =
+      String controller = "yurt-" + random.nextInt(3);
+      String fault =
           switch (random.nextInt(8)) {
-            case 0 -> "crash " + one;
+            case 0 -> "crash " + controller;
             case 1 -> "crash-leader";
-            case 2 -> "freeze " + one;
+            case 2 -> "freeze " + controller;
             case 3, 4 -> "freeze-leader";
             case 5 -> "terminate leader";
-            case 6 -> "handover " + one;
+            case 6 -> "handover " + controller;
             default -> "cancel-now count=2";
           };
-      day.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, act, span));
+      lines.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, fault, span));
     }
-    return day.append("run ").append(seconds).append("\n").toString();
+    return lines.append("run ").append(seconds).append("\n").toString();
   }
 
   /** The leader's controller stands still for about as long as its lease lives, again and again. */
   static String pauses(long seed, int seconds) {
     Random random = new Random(seed);
-    StringBuilder day = new StringBuilder(setUp(seed));
+    StringBuilder lines = new StringBuilder(setUp(seed));
     double last = seconds - 30;
-    day.append(
+    lines.append(
         String.format(Locale.ROOT, "at 4 every 0.4 until %.1f submit run-# tasks=2 run=5%n", last));
     for (double at = 12; at < last; at += 10) {
       double span = 3.6 + random.nextDouble();
-      day.append(String.format(Locale.ROOT, "at %.2f freeze-leader for %.2f%n", at, span));
+      lines.append(String.format(Locale.ROOT, "at %.2f freeze-leader for %.2f%n", at, span));
     }
-    return day.append("run ").append(seconds).append("\n").toString();
+    return lines.append("run ").append(seconds).append("\n").toString();
   }
 
   /** The leader's controller is killed again and again, and is back after 9 s. */
   static String kills(long seed, int count) {
     Random random = new Random(seed);
     double end = 15 + count * KILL_PERIOD_S;
-    StringBuilder day = new StringBuilder(setUp(seed));
-    day.append(
+    StringBuilder lines = new StringBuilder(setUp(seed));
+    lines.append(
         String.format(
             Locale.ROOT, "at 3 every 0.4 until %.1f submit run-# tasks=2 run=4 cpus=2%n", end));
     for (int i = 0; i < count; i++) {
       double at = 12 + i * KILL_PERIOD_S + random.nextDouble() * 2;
-      day.append(String.format(Locale.ROOT, "at %.2f crash-leader for 9%n", at));
+      lines.append(String.format(Locale.ROOT, "at %.2f crash-leader for 9%n", at));
     }
-    return day.append("run ").append((int) end + 15).append("\n").toString();
+    return lines.append("run ").append((int) end + 15).append("\n").toString();
   }
 
   /** Plays a day with real processes; returns what was not as expected. */
--- a/src/test/java/org/baygw/control/sim/ProcessesIT.java
+++ b/src/test/java/org/baygw/control/sim/ProcessesIT.java
@@ -22,8 +22,8 @@
 
   @TempDir Path logs;
 
-  private Scenario play(String day, boolean standby) throws Exception {
-    Scenario scenario = Scenario.prepare(day);
+  private Scenario play(String text, boolean standby) throws Exception {
+    Scenario scenario = Scenario.prepare(text);
     assertEquals(
         List.of(),
         ProcessScenarios.play(scenario, ProcessScenarios.command(standby), logs),
--- a/src/test/java/org/baygw/control/sim/RandomFaultTest.java
+++ b/src/test/java/org/baygw/control/sim/RandomFaultTest.java
@@ -27,20 +27,20 @@
 
   /** A job's submission; one in so many is called off within so many seconds. */
   private static String submission(
-      Random random, double at, int i, String kind, int oneIn, double within) {
+      Random random, double at, int number, String options, int oneIn, double within) {
     String line =
         String.format(
             Locale.ROOT,
             "at %.2f submit run-%d %s image=i%d team=%s%n",
             at,
-            i,
-            kind,
+            number,
+            options,
             random.nextInt(3),
             random.nextBoolean() ? "red" : "blue");
     return random.nextInt(oneIn) == 0
         ? line
             + String.format(
-                Locale.ROOT, "at %.2f abort run-%d%n", at + random.nextDouble() * within, i)
+                Locale.ROOT, "at %.2f abort run-%d%n", at + random.nextDouble() * within, number)
         : line;
   }
 
@@ -126,7 +126,7 @@
     }
     for (int i = 0; i < 6; i++) {
       double start = 8 + random.nextDouble() * 90;
-      for (int k = 2 + random.nextInt(2); k > 0; k--) {
+      for (int remaining = 2 + random.nextInt(2); remaining > 0; remaining--) {
         double at = start + random.nextDouble() * 3;
         double span = 0.3 + random.nextDouble() * (random.nextInt(3) == 0 ? 45 : 15);
         String controller = CONTROLLERS[random.nextInt(3)];
@@ -159,8 +159,8 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void keepsTheRulesUnderOverlappingFaults(long first) {
-    for (long seed = first * 1000; seed < first * 1000 + SEEDS_PER_TEST; seed++) {
+  void keepsTheRulesUnderOverlappingFaults(long block) {
+    for (long seed = block * 1000; seed < block * 1000 + SEEDS_PER_TEST; seed++) {
       assertEquals(List.of(), Scenario.play(overlappingFaults(seed)), "day " + seed);
     }
   }
@@ -171,19 +171,19 @@
     StringBuilder lines = new StringBuilder();
     for (int i = 0; i < 6; i++) {
       double at = 8 + random.nextDouble() * 95;
-      String act =
+      String fault =
           random.nextInt(3) == 0 ? "freeze " + CONTROLLERS[random.nextInt(3)] : "freeze-leader";
       double span =
           random.nextBoolean() ? 1 + random.nextDouble() * 8 : 8 + random.nextDouble() * 30;
-      lines.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, act, span));
+      lines.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, fault, span));
     }
     return overlappingFaults(seed) + lines;
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void keepsTheRulesWhenControllersFreeze(long first) {
-    for (long seed = first * 1000; seed < first * 1000 + SEEDS_PER_TEST; seed++) {
+  void keepsTheRulesWhenControllersFreeze(long block) {
+    for (long seed = block * 1000; seed < block * 1000 + SEEDS_PER_TEST; seed++) {
       assertEquals(List.of(), Scenario.play(overlappingFaultsWithFreezes(seed)), "day " + seed);
     }
   }
@@ -196,27 +196,27 @@
     for (int i = 0; i < 9; i++) {
       double at = 8 + random.nextDouble() * 95;
       double span = 0.2 + random.nextDouble() * (random.nextInt(3) == 0 ? 25 : 8);
-      String one = CONTROLLERS[random.nextInt(3)];
+      String controller = CONTROLLERS[random.nextInt(3)];
       String other = CONTROLLERS[random.nextInt(3)];
-      String act =
+      String fault =
           switch (random.nextInt(9)) {
-            case 0 -> "terminate " + one;
+            case 0 -> "terminate " + controller;
             case 1 -> "terminate leader";
-            case 2, 3 -> "handover " + one;
+            case 2, 3 -> "handover " + controller;
             case 4, 5 -> "freeze-leader-sending";
-            case 6 -> "cut " + one + " " + other + " hold";
-            case 7 -> "cut " + one + " " + other + " drop";
-            default -> "cut controllers " + one + " lose_answers";
+            case 6 -> "cut " + controller + " " + other + " hold";
+            case 7 -> "cut " + controller + " " + other + " drop";
+            default -> "cut controllers " + controller + " lose_answers";
           };
-      lines.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, act, span));
+      lines.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, fault, span));
     }
     return overlappingFaultsWithFreezes(seed) + lines;
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void keepsTheRulesWithStandby(long first) {
-    for (long seed = first * 1000; seed < first * 1000 + SEEDS_PER_TEST; seed++) {
+  void keepsTheRulesWithStandby(long block) {
+    for (long seed = block * 1000; seed < block * 1000 + SEEDS_PER_TEST; seed++) {
       assertEquals(List.of(), Scenario.play(faultsWithStandby(seed)), "day " + seed);
     }
   }
@@ -230,8 +230,8 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void keepsTheRulesUnderIndependentFaults(long first) {
-    for (long seed = first * 1000; seed < first * 1000 + SEEDS_PER_TEST; seed++) {
+  void keepsTheRulesUnderIndependentFaults(long block) {
+    for (long seed = block * 1000; seed < block * 1000 + SEEDS_PER_TEST; seed++) {
       assertEquals(List.of(), Scenario.play(independentFaults(seed)), "day " + seed);
     }
   }
--- a/src/test/java/org/baygw/control/sim/Scenario.java
+++ b/src/test/java/org/baygw/control/sim/Scenario.java
@@ -74,7 +74,7 @@
                 0,
                 0));
       }
-      case "run" -> endMs = ScenarioWords.seconds(words[1]);
+      case "run" -> endMs = ScenarioWords.millis(words[1]);
       case "expect" -> expectations.add(words);
       case "machines", "at", "set" -> setUp.add(words);
       default -> throw new IllegalArgumentException("no such line: " + String.join(" ", words));
@@ -111,10 +111,10 @@
                   case "slow-boots" -> cluster.cloud.nextBootSlowly(Integer.parseInt(v), 4);
                   case "spot-capacity" -> cluster.cloud.spotCapacity = Integer.parseInt(v);
                   case "capacity" -> cluster.cloud.capacity = Integer.parseInt(v);
-                  case "boot" -> cluster.cloud.bootMs = ScenarioWords.seconds(v);
+                  case "boot" -> cluster.cloud.bootMs = ScenarioWords.millis(v);
                   case "never-boots" -> cluster.cloud.nextNeverBoots(Integer.parseInt(v));
-                  case "lease" -> cluster.leaseMs = ScenarioWords.seconds(v);
-                  case "cancel" -> cluster.cancelMs = ScenarioWords.seconds(v);
+                  case "lease" -> cluster.leaseMs = ScenarioWords.millis(v);
+                  case "cancel" -> cluster.cancelMs = ScenarioWords.millis(v);
                   case "rps" -> cluster.stateRps = Double.parseDouble(v);
                   case "write-rps" -> {
                     cluster.stateWriteRps = Double.parseDouble(v);
@@ -173,18 +173,18 @@
     faultsEndAt =
         Math.max(
             faultsEndAt,
-            ScenarioWords.seconds(words[1])
-                + ScenarioWords.seconds(ScenarioWords.wordAfter(words, "for", "0"))
-                + ScenarioWords.seconds(ScenarioWords.wordAfter(words, "late", "0")));
-    cluster.after(ScenarioWords.seconds(words[1]), () -> actions.act(words));
+            ScenarioWords.millis(words[1])
+                + ScenarioWords.millis(ScenarioWords.wordAfter(words, "for", "0"))
+                + ScenarioWords.millis(ScenarioWords.wordAfter(words, "late", "0")));
+    cluster.after(ScenarioWords.millis(words[1]), () -> actions.act(words));
   }
 
   /** at 2 every 0.5 until 60 submit run-# ...: the same again and again, # being a number. */
   private void scheduleRepeatedly(String[] words) {
     int number = 0;
-    for (long atMs = ScenarioWords.seconds(words[1]);
-        atMs <= ScenarioWords.seconds(words[5]);
-        atMs += ScenarioWords.seconds(words[3])) {
+    for (long atMs = ScenarioWords.millis(words[1]);
+        atMs <= ScenarioWords.millis(words[5]);
+        atMs += ScenarioWords.millis(words[3])) {
       List<String> line = new ArrayList<>(List.of("at", String.valueOf(atMs / 1000.0)));
       for (int i = 6; i < words.length; i++) {
         line.add(words[i].replace("#", String.valueOf(number)));
--- a/src/test/java/org/baygw/control/sim/ScenarioActions.java
+++ b/src/test/java/org/baygw/control/sim/ScenarioActions.java
@@ -74,13 +74,12 @@
 
   /** Carries out what a line says. */
   void act(String[] words) {
-    long forMs = ScenarioWords.seconds(ScenarioWords.wordAfter(words, "for", "0"));
+    long forMs = ScenarioWords.millis(ScenarioWords.wordAfter(words, "for", "0"));
     switch (words[2]) {
       case "submit" -> users.submit(words);
       case "abort" -> users.abort(words[3], ScenarioWords.wordAfter(words, "via", null));
       case "cancel-now" ->
-          users.cancelNow(
-              words, ScenarioWords.seconds(ScenarioWords.wordAfter(words, "hang", "0")));
+          users.cancelNow(words, ScenarioWords.millis(ScenarioWords.wordAfter(words, "hang", "0")));
       case "cancel-at-end" -> {
         double share = Double.parseDouble(ScenarioWords.wordAfter(words, "share", "1"));
         cluster.checker.cancelAtEnd =
@@ -99,25 +98,25 @@
 
   /** What is done to controllers. */
   private void actOnControllers(String[] words) {
-    long forMs = ScenarioWords.seconds(ScenarioWords.wordAfter(words, "for", "0"));
+    long forMs = ScenarioWords.millis(ScenarioWords.wordAfter(words, "for", "0"));
     switch (words[2]) {
       case "crash" -> {
-        for (SimulatedCluster.Node n : cluster.nodes.values()) {
-          if (words[3].equals("all") || words[3].equals(n.label)) {
-            n.crash();
-            cluster.after(forMs, n::start);
+        for (SimulatedCluster.Node node : cluster.nodes.values()) {
+          if (words[3].equals("all") || words[3].equals(node.label)) {
+            node.crash();
+            cluster.after(forMs, node::start);
           }
         }
       }
       case "crash-leader" -> {
-        SimulatedCluster.Node n = leader();
-        if (n == null) {
+        SimulatedCluster.Node node = leader();
+        if (node == null) {
           return; // nobody holds it just now
         }
-        n.crash();
+        node.crash();
         cluster.lastCrashAt = cluster.now();
         cluster.leaderCrashTimes.add(cluster.now());
-        cluster.after(forMs, n::start);
+        cluster.after(forMs, node::start);
       }
       case "freeze" -> cluster.nodes.get(words[3]).freeze(forMs);
       case "freeze-leader-sending" -> {
@@ -148,14 +147,14 @@
 
   /** What is done to messages and to the services outside. */
   private void actOnNetwork(String[] words) {
-    long forMs = ScenarioWords.seconds(ScenarioWords.wordAfter(words, "for", "0"));
+    long forMs = ScenarioWords.millis(ScenarioWords.wordAfter(words, "for", "0"));
     switch (words[2]) {
       case "cut" -> {
         SimulatedCluster.Cut kind =
             SimulatedCluster.Cut.valueOf(words[5].toUpperCase().replace('-', '_'));
-        for (String a : hostsNamed(words[3])) {
-          for (String b : hostsNamed(words[4])) {
-            cluster.cut(a, b, kind, forMs);
+        for (String from : hostsNamed(words[3])) {
+          for (String to : hostsNamed(words[4])) {
+            cluster.cut(from, to, kind, forMs);
           }
         }
       }
@@ -168,25 +167,25 @@
         cluster.cut(words[3], "state", SimulatedCluster.Cut.HOLD, forMs);
         cluster.cut("state", words[3], SimulatedCluster.Cut.DROP, forMs);
       }
-      case "mute" -> hostsNamed(words[3]).forEach(m -> cluster.mute(m, forMs));
+      case "mute" -> hostsNamed(words[3]).forEach(host -> cluster.mute(host, forMs));
       case "late-writes" ->
           cluster.state.lateWrites(
               Double.parseDouble(ScenarioWords.wordAfter(words, "share", "1")), forMs);
       case "cut-zone-workers" -> {
         // Cut off from the controllers of other zones; what its own controllers say still arrives.
         for (WorkerStub worker : cluster.workers.values()) {
-          for (SimulatedCluster.Node n : cluster.nodes.values()) {
-            if (worker.zone.equals(words[3]) && !n.zone.equals(words[3])) {
-              cluster.cut(worker.name, n.label, SimulatedCluster.Cut.DROP, forMs);
-              cluster.cut(n.label, worker.name, SimulatedCluster.Cut.DROP, forMs);
+          for (SimulatedCluster.Node node : cluster.nodes.values()) {
+            if (worker.zone.equals(words[3]) && !node.zone.equals(words[3])) {
+              cluster.cut(worker.name, node.label, SimulatedCluster.Cut.DROP, forMs);
+              cluster.cut(node.label, worker.name, SimulatedCluster.Cut.DROP, forMs);
             }
           }
         }
       }
       case "copies" -> {
-        for (String m : hostsNamed(words[3])) {
+        for (String host : hostsNamed(words[3])) {
           cluster.duplicateReports(
-              m, ScenarioWords.seconds(ScenarioWords.wordAfter(words, "late", "0")), forMs);
+              host, ScenarioWords.millis(ScenarioWords.wordAfter(words, "late", "0")), forMs);
         }
       }
       case "state-outage" ->
@@ -199,7 +198,7 @@
 
   /** What is done to machines. */
   private void actOnMachines(String[] words) {
-    long forMs = ScenarioWords.seconds(ScenarioWords.wordAfter(words, "for", "0"));
+    long forMs = ScenarioWords.millis(ScenarioWords.wordAfter(words, "for", "0"));
     switch (words[2]) {
       case "hang" -> cluster.workers.get(words[3]).hang(forMs);
       case "hang-some" -> {
@@ -207,7 +206,7 @@
         if (cluster.workers.size() < count) {
           failures.add("only " + cluster.workers.size() + " machines are there to hang");
         }
-        cluster.workers.values().stream().limit(count).forEach(m -> m.hang(forMs));
+        cluster.workers.values().stream().limit(count).forEach(worker -> worker.hang(forMs));
       }
       case "take" -> cluster.cloud.remove(words[3]);
       case "sick" -> cluster.workers.get(words[3]).sick = true;
--- a/src/test/java/org/baygw/control/sim/ScenarioExpectations.java
+++ b/src/test/java/org/baygw/control/sim/ScenarioExpectations.java
@@ -30,7 +30,7 @@
       case "done" -> {
         Long at = cluster.checker.doneToldAt.get(words[2]);
         long by =
-            ScenarioWords.seconds(
+            ScenarioWords.millis(
                 ScenarioWords.wordAfter(words, "by", String.valueOf(cluster.now() / 1000.0)));
         if (at == null || at > by) {
           failures.add(words[2] + " was told done at " + at + ", expected by " + by);
@@ -43,7 +43,7 @@
         }
         Long at = cluster.checker.cancelledToldAt.get(words[2]);
         long by =
-            ScenarioWords.seconds(
+            ScenarioWords.millis(
                 ScenarioWords.wordAfter(words, "by", String.valueOf(cluster.now() / 1000.0)));
         if (words[3].equals("cancelled") && (at == null || at > by)) {
           failures.add(words[2] + " was told cancelled at " + at);
@@ -57,7 +57,7 @@
       }
       case "begun" -> {
         Long at = cluster.checker.firstStartedAt.get(words[2]);
-        if (at == null || at > ScenarioWords.seconds(ScenarioWords.wordAfter(words, "by", "0"))) {
+        if (at == null || at > ScenarioWords.millis(ScenarioWords.wordAfter(words, "by", "0"))) {
           failures.add(words[2] + " began at " + at);
         }
       }
@@ -195,7 +195,7 @@
   /** How much was used, and what the controllers' cores did: it may not grow unnoticed. */
   void expectWork(String[] words) {
     switch (words[1]) {
-      case "first-orders-within" -> checkFirstOrders(ScenarioWords.seconds(words[2]));
+      case "first-orders-within" -> checkFirstOrders(ScenarioWords.millis(words[2]));
       case "replicated-kb-at-most" -> checkReplicationRate(Double.parseDouble(words[2]));
       case "standby-report" ->
           checkStandbyStatus(words[2], Long.parseLong(words[3]), Long.parseLong(words[4]));
--- a/src/test/java/org/baygw/control/sim/ScenarioUsers.java
+++ b/src/test/java/org/baygw/control/sim/ScenarioUsers.java
@@ -97,7 +97,7 @@
             options.containsKey("spot"),
             options.containsKey("saves"),
             options.containsKey("mistaken"),
-            ScenarioWords.seconds(options.getOrDefault("run", "5")));
+            ScenarioWords.millis(options.getOrDefault("run", "5")));
     cluster.checker.submitted(job);
     ObjectNode request =
         Json.object().put("id", job.id()).put("lane", "any").put("crew", job.team());
--- a/src/test/java/org/baygw/control/sim/ScenarioWords.java
+++ b/src/test/java/org/baygw/control/sim/ScenarioWords.java
@@ -17,8 +17,8 @@
     return options;
   }
 
-  static long seconds(String s) {
-    return Math.round(Double.parseDouble(s) * 1000);
+  static long millis(String seconds) {
+    return Math.round(Double.parseDouble(seconds) * 1000);
   }
 
   static String wordAfter(String[] words, String key, String fallback) {
--- a/src/test/java/org/baygw/control/sim/SimulatedCluster.java
+++ b/src/test/java/org/baygw/control/sim/SimulatedCluster.java
@@ -449,8 +449,8 @@
   }
 
   private ActiveCut cutOf(String from, String to) {
-    ActiveCut c = cuts.get(from + ">" + to);
-    return c == null || c.untilMs() <= now ? null : c;
+    ActiveCut activeCut = cuts.get(from + ">" + to);
+    return activeCut == null || activeCut.untilMs() <= now ? null : activeCut;
   }
 
   private static String host(String addr) {
--- a/src/test/java/org/baygw/control/sim/StateServiceStub.java
+++ b/src/test/java/org/baygw/control/sim/StateServiceStub.java
@@ -108,8 +108,8 @@
   }
 
   JsonNode value(String key) {
-    Item i = items.get(key);
-    return i == null ? null : i.value();
+    Item item = items.get(key);
+    return item == null ? null : item.value();
   }
 
   boolean hasKeysUnder(String prefix) {
@@ -190,9 +190,9 @@
     String[] split = path.split("\\?", 2);
     Map<String, String> query = new HashMap<>();
     if (split.length > 1) {
-      for (String p : split[1].split("&")) {
-        int eq = p.indexOf('=');
-        query.put(p.substring(0, eq), p.substring(eq + 1));
+      for (String parameter : split[1].split("&")) {
+        int eq = parameter.indexOf('=');
+        query.put(parameter.substring(0, eq), parameter.substring(eq + 1));
       }
     }
     String endpoint = split[0];
