--- a/src/test/java/org/baygw/control/sim/FailoverPhases.java
+++ b/src/test/java/org/baygw/control/sim/FailoverPhases.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 
-/** Where the time from a controller's end to its successors' first orders goes, over many ends. */
+/** Histograms of the phases from a controller's end to its successors' first orders. */
 final class FailoverPhases {
   private static final long MAX_MS = 600_000;
   private static final int SIGNIFICANT_DIGITS = 3;
@@ -45,11 +45,11 @@
         title,
         count(),
         withoutOrder,
-        line("end to the lease's end", endToLeaseExpiry),
-        line("lease's end to the claim", leaseExpiryToClaim),
-        line("claim to the first order", claimToOrder),
-        line("end to the first order", endToOrder),
-        line("end to the first launch", endToLaunch));
+        line("end to lease expiry", endToLeaseExpiry),
+        line("lease expiry to claim", leaseExpiryToClaim),
+        line("claim to first order", claimToOrder),
+        line("end to first order", endToOrder),
+        line("end to first launch", endToLaunch));
   }
 
   private static String line(String name, Histogram h) {
--- a/src/test/java/org/baygw/control/sim/FailoverProbe.java
+++ b/src/test/java/org/baygw/control/sim/FailoverProbe.java
@@ -11,14 +11,14 @@
 import org.baygw.control.Constants;
 
 /**
- * Notes when claims end and are taken, and when the orders of a new epoch first take effect. An
- * order of the leader is a durable grant; one of a partition's owner is any message with its token
- * that a worker accepts.
+ * Records when claims end and are taken, and when orders of a new epoch first take effect. An order
+ * of the leader takes effect as a durable grant, an order of a partition's owner as a message with
+ * its token that a worker accepts.
  */
 final class FailoverProbe {
   static final String LEADER = "leader";
 
-  /** Times of one role's latest change of owner, in ms; -1 where something has not come yet. */
+  /** Times of one change of a role's owner, in ms; -1 for steps that have not happened yet. */
   static final class Failover {
     final String formerOwner;
     final long claimEndedAt;
@@ -68,7 +68,7 @@
     failoversByRole.computeIfAbsent(role, k -> new ArrayList<>()).add(failover);
   }
 
-  /** The leader under this epoch made a grant durable. */
+  /** The leader of this epoch made a grant durable. */
   void granted(long epoch) {
     Failover failover = latest.get(LEADER);
     if (failover != null
@@ -95,12 +95,12 @@
     }
   }
 
-  /** Who made the claims of an epoch; null where there were none. */
+  /** The controller that made the claims of an epoch; null if there were none. */
   String claimant(long epoch) {
     return claimantsByEpoch.get(epoch);
   }
 
-  /** Each role's first change of owner since then. */
+  /** Each role's first change of owner since the given time. */
   Map<String, Failover> firstSince(long since) {
     Map<String, Failover> found = new TreeMap<>();
     failoversByRole.forEach(
@@ -112,7 +112,7 @@
     return found;
   }
 
-  /** When a claim of the controller last ended. */
+  /** Time at which a claim of the controller last ended; far in the past if none has. */
   long lastClaimEndOf(String label) {
     return failoversByRole.values().stream()
         .flatMap(List::stream)
@@ -122,7 +122,7 @@
         .orElse(Long.MIN_VALUE / 2);
   }
 
-  /** Who holds a role, as the state service has it; null where nobody does. */
+  /** The owner of a role according to the state service; null if there is none. */
   String owner(String role) {
     return ownersByRole.get(role);
   }
--- a/src/test/java/org/baygw/control/sim/SimulatedCluster.java
+++ b/src/test/java/org/baygw/control/sim/SimulatedCluster.java
@@ -20,7 +20,7 @@
 
 /**
  * A simulated deployment: clock, network, state service, cloud, workers and users around real
- * cores. Everything random comes from one seed, so a scenario always plays the same.
+ * controller cores. All randomness comes from one seed, so each scenario is reproducible.
  */
 final class SimulatedCluster {
   static final String STATE = "10.9.0.1:2379";
@@ -29,22 +29,23 @@
   static final long TIME_BOUND_MS = 100;
 
   /**
-   * For how long after its release is carried out a controller that waits for the answer is silent.
+   * Time after its claims are released during which a leaving controller, which still waits for the
+   * answer to the release, must send no orders.
    */
   private static final long RELEASE_WINDOW_MS = 1_000;
 
-  /** For how long after a freeze a process counts as just woken. */
+  /** Time after a freeze during which a process counts as just resumed. */
   private static final long RESUME_WINDOW_MS = 300;
 
   private record Event(long at, long order, Runnable action) {}
 
-  /** What happens to messages of one direction between two hosts. */
+  /** A fault of the messages from one host to another. */
   enum Cut {
-    /** Lost. */
+    /** Messages are lost. */
     DROP,
-    /** Kept, and delivered when the cut ends. */
+    /** Messages are held back and delivered when the cut ends. */
     HOLD,
-    /** Requests arrive, their answers do not. */
+    /** Requests arrive, but their answers are lost. */
     LOSE_ANSWERS
   }
 
@@ -63,25 +64,28 @@
   final List<Settings.Team> teams;
   private final Map<String, ActiveCut> cuts = new HashMap<>();
 
-  /** Workers whose reports are delivered once more, so much later, until then. */
+  /**
+   * By worker whose reports are delivered twice: delay of the second delivery (0 for a random one)
+   * and time at which the fault ends, in ms.
+   */
   private final Map<String, long[]> duplicateReports = new HashMap<>();
 
-  /** Until when workers' reports reach no controller, while direct commands are answered. */
+  /** By worker: time until which its reports reach no controller; it still answers commands. */
   private final Map<String, Long> mutedUntil = new HashMap<>();
 
-  /** Orders that controllers sent just after their claims were released. */
+  /** Number of orders that controllers sent just after their claims were released. */
   int ordersAfterRelease;
 
-  /** Orders that woken processes sent after others had replaced them. */
+  /** Number of orders that resumed processes sent after others had replaced them. */
   int staleOrders;
 
-  /** When scenarios ended the leader's controller. */
+  /** Times at which the scenario crashed the leader's controller. */
   final List<Long> leaderCrashTimes = new ArrayList<>();
 
-  /** When a scenario last ended the leader's controller. */
+  /** Time at which the scenario last crashed the leader's controller or terminated any. */
   long lastCrashAt;
 
-  /** Which optional subsystems controllers run with. */
+  /** Optional subsystems that controllers run with. */
   Features features = Features.NONE;
 
   long leaseMs = 10_000;
@@ -97,21 +101,21 @@
   private long order;
   private long now;
 
-  /** Controllers that run as processes of their own, in place of cores in this one. */
+  /** Controllers that run as separate processes instead of as cores in this process. */
   interface RemoteControllers {
     void start(String label);
 
     void kill(String label);
 
-    /** Stops a process, which goes on after some time. */
+    /** Pauses a process and resumes it after the given time. */
     void pause(String label, long forMs);
 
-    /** Asks a process to end. */
+    /** Asks a process to shut down. */
     void terminate(String label);
 
     boolean isAlive(String label);
 
-    /** Sends a request; a connection that is refused is answered with {@link Outbox#NOT_SENT}. */
+    /** Sends a request; a refused connection is answered with {@link Outbox#NOT_SENT}. */
     void send(
         String label,
         boolean peer,
@@ -120,19 +124,19 @@
         byte[] body,
         StateServiceStub.ResponseCallback respond);
 
-    /** Where a worker listens. */
+    /** The address at which a worker listens. */
     String address(String worker);
   }
 
-  /** Null where the controllers' cores run here. */
+  /** Null if the controllers' cores run in this process. */
   RemoteControllers remote;
 
-  /** One controller: its core, replaced at every restart. */
+  /** One controller; its core is replaced at every restart. */
   final class Node {
     final String label;
     final String zone;
 
-    /** How far this controller's time of day is from the true one. */
+    /** Offset of this controller's wall clock from the true time, in ms. */
     private final long wallClockOffsetMs;
 
     Controller core;
@@ -172,7 +176,7 @@
       scheduleTick(startedAs);
     }
 
-    /** Like the event loop's: a step is taken where none was for a while. */
+    /** Like the event loop, takes a step when none was taken for a tick period. */
     private void scheduleTick(int startedAs) {
       long left = lastStep + settings.tickMs() - now;
       after(
@@ -194,7 +198,7 @@
       execute(work.measure("tick", () -> core.tick(now, wallClock())), now);
     }
 
-    /** One step follows all outcomes that come at the same time. */
+    /** Schedules a single step after all outcomes that arrive at the same time. */
     private void scheduleStep() {
       if (!stepScheduled) {
         stepScheduled = true;
@@ -204,7 +208,8 @@
     }
 
     /**
-     * The process stands still while its clocks run on; what comes meanwhile is handled after it.
+     * Freezes the process while its clocks run on; input that arrives meanwhile is handled
+     * afterwards.
      */
     void freeze(long forMs) {
       if (remote != null) {
@@ -216,14 +221,14 @@
     }
 
     /**
-     * The process stands still between deciding and sending, the next time that it has decided on
-     * orders to workers.
+     * Freezes the process between deciding and sending, the next time that it has decided on orders
+     * to workers.
      */
     void freezeBeforeOrders(long forMs) {
       freezeBeforeOrdersMs = forMs;
     }
 
-    /** The process is asked to end, hands its roles over and is gone. */
+    /** Asks the process to shut down: it hands its roles over and ends. */
     void terminate() {
       if (remote != null) {
         remote.terminate(label);
@@ -262,7 +267,7 @@
       return now + wallClockOffsetMs;
     }
 
-    /** What the administration API tells of warm standby now. */
+    /** Returns the present warm standby status from the administration API. */
     JsonNode standbyStatus() {
       for (Outbox.Effect effect :
           core.peerRequest(now, wallClock(), ++requests, "GET", "/admin/v1/standby", new byte[0])) {
@@ -270,7 +275,7 @@
           return Json.parse(answer.body());
         }
       }
-      throw new IllegalStateException("no answer about warm standby");
+      throw new IllegalStateException("the request for the warm standby status was not answered");
     }
 
     void crash() {
@@ -331,7 +336,10 @@
           || effect instanceof Outbox.Call call && call.orders();
     }
 
-    /** Counts orders that a process which has just woken sends after others have replaced it. */
+    /**
+     * Counts orders that a process sends just after it has resumed and others have replaced it, or
+     * just after its claims were released.
+     */
     private void countMisplacedOrders(Outbox.Effect effect) {
       boolean justResumed = now >= resumedAt && now - resumedAt <= RESUME_WINDOW_MS;
       if (justResumed && !state.ownsPartition(label)) {
@@ -418,7 +426,7 @@
     return now;
   }
 
-  /** When the next event is due. */
+  /** Time at which the next event is due; {@code Long.MAX_VALUE} if there is none. */
   long nextEventAt() {
     return events.isEmpty() ? Long.MAX_VALUE : events.peek().at();
   }
@@ -467,7 +475,7 @@
     return 1 + random.nextInt(4);
   }
 
-  /** One request over the network, with all that may become of it. */
+  /** Sends one request over the network, subject to its latency, faults and the timeout. */
   void call(
       String from,
       String addr,
@@ -554,12 +562,12 @@
     }
   }
 
-  /** Where a worker listens. */
+  /** The address at which a worker listens. */
   String address(String worker) {
     return remote == null ? worker + ":9000" : remote.address(worker);
   }
 
-  /** A request of a controller that runs as a process of its own. */
+  /** Delivers a request of a controller that runs as a separate process. */
   void receive(
       String from,
       String to,
@@ -570,7 +578,7 @@
     deliver(from, to, false, method, path, body, respond);
   }
 
-  /** The partition of a worker's machine, by the durable number of partitions. */
+  /** The partition of a worker's machine, by the number of partitions in the state service. */
   String partitionOf(WorkerStub worker) {
     JsonNode layout = state.value("b/layout");
     int perZone = layout == null ? 1 : layout.path("partitions_per_zone").asInt();
--- a/src/test/java/org/baygw/control/sim/WorkMeter.java
+++ b/src/test/java/org/baygw/control/sim/WorkMeter.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 
-/** What controllers' cores do, by kind of input: how often, and the bytes that it allocates. */
+/** Measures the cores' work by kind of input: inputs, allocated bytes and time. */
 final class WorkMeter {
   /** Work for inputs of one kind. */
   static final class Work {
@@ -19,7 +19,7 @@
 
   private final Map<String, Work> byKind = new TreeMap<>();
 
-  /** Carries the action out and counts it. */
+  /** Runs the action and records its work. */
   <T> T measure(String kind, Supplier<T> action) {
     Work work = byKind.computeIfAbsent(kind, k -> new Work());
     long bytes = THREADS.getCurrentThreadAllocatedBytes();
