--- a/src/test/java/org/baygw/control/sim/InvariantChecker.java
+++ b/src/test/java/org/baygw/control/sim/InvariantChecker.java
@@ -14,9 +14,9 @@
 import org.baygw.control.Constants;
 import org.baygw.control.config.Settings;
 
-/** Watches the simulated world and notes every broken rule of the protocol, by its name there. */
+/** Watches the simulated cluster and records each broken rule by its name in the protocol. */
 final class InvariantChecker {
-  /** A job as its user sent it. */
+  /** A job as its user submitted it. */
   record Submitted(
       String id,
       String team,
@@ -36,7 +36,7 @@
   private final Map<String, Submitted> jobs = new HashMap<>();
   private final TreeMap<String, Set<WorkerStub>> machinesByTask = new TreeMap<>();
 
-  /** Thousandths of a CPU that each team has in use, kept with each start and end. */
+  /** Thousandths of a CPU in use by each team, updated when a task starts or leaves a machine. */
   private final Map<String, Long> milliCpusInUse = new HashMap<>();
 
   private final Map<String, Long> startedAt = new HashMap<>();
@@ -49,10 +49,10 @@
   final Set<String> violations = new TreeSet<>();
   int starts;
 
-  /** Jobs' first starts. */
+  /** Time at which a task of each job first started. */
   final Map<String, Long> firstStartedAt = new HashMap<>();
 
-  /** When a question about a job was last answered, and when it was first accepted. */
+  /** Time at which a request about each job was last answered. */
   private final Map<String, Long> answeredAt = new HashMap<>();
 
   InvariantChecker(SimulatedCluster cluster) {
@@ -92,10 +92,10 @@
     }
   }
 
-  /** Asked to cancel a job at the moment at which its last task ends; null: nobody does. */
+  /** Called with a job's id when its last task ends, to cancel it at that moment; may be null. */
   Consumer<String> cancelAtEnd;
 
-  /** Jobs of which a task is on a machine, in order. */
+  /** Jobs with a task on a machine, in order of the tasks' ids. */
   List<String> running() {
     return machinesByTask.entrySet().stream()
         .filter(e -> !e.getValue().isEmpty())
@@ -118,7 +118,7 @@
     return count;
   }
 
-  /** Where the job's tasks are: the character after the slash closes the range. */
+  /** The machines of each task of a job; '0', which follows '/', ends the range of its tasks. */
   private Map<String, Set<WorkerStub>> machinesByTaskOf(String id) {
     return machinesByTask.subMap(id + "/", id + "0");
   }
@@ -127,21 +127,24 @@
     return lastStatusTold.get(id);
   }
 
-  /** Once all troubles are over, a job about which nothing is answered for so long is forgotten. */
+  /** Once all faults are over, a job counts as forgotten after this time without an answer. */
   static final long FORGOTTEN_AFTER_MS = 75_000;
 
   /**
-   * Once all troubles are over, a job that has waited so long must not go on waiting while a
-   * machine that fits has room and its team is under its limit.
+   * Once all faults are over, a job must not wait longer than this while a suitable machine has
+   * free capacity and the job's team is below its quota.
    */
   static final long WAIT_LIMIT_MS = 90_000;
 
-  /** How long there must have been that room without a break: a grant and a launch take seconds. */
+  /**
+   * How long that capacity must have been free without interruption, since a grant and a launch
+   * take seconds.
+   */
   private static final long CAPACITY_MS = 10_000;
 
   private static final long SAMPLE_MS = 1_000;
 
-  /** Since when there has been room for jobs that wait. */
+  /** Time since which there has been free capacity for each waiting job. */
   private final Map<String, Long> capacitySince = new HashMap<>();
 
   private final Map<String, Long> acceptedAt = new HashMap<>();
@@ -171,7 +174,7 @@
   }
 
   /**
-   * Looks from now on whether jobs wait though they could run; to be called when the troubles are
+   * Starts checking for jobs that wait though they could run; to be called when all faults are
    * over.
    */
   void watchWaitingJobs() {
@@ -245,7 +248,7 @@
     }
   }
 
-  /** Jobs of which a task that ran has left its machine. */
+  /** Jobs of which a task has left its machine after it had started. */
   final Set<String> jobsWithStoppedTask = new HashSet<>();
 
   /** Machines on which a task has started. */
@@ -260,7 +263,10 @@
     }
   }
 
-  /** Tasks whose lease ended while their machine hung: for a cancellation they are still there. */
+  /**
+   * By hung machine: jobs whose tasks' lease expired while it hung. A cancellation still counts
+   * these tasks as running.
+   */
   private final Map<WorkerStub, Set<String>> jobsOnHungMachines = new HashMap<>();
 
   void lostWhileHung(WorkerStub worker, String task) {
@@ -271,12 +277,12 @@
     jobsOnHungMachines.remove(worker);
   }
 
-  /** The highest epoch in which each worker has obeyed. */
+  /** The highest epoch of the messages that each worker has obeyed. */
   private final Map<String, Long> obeyedEpochs = new HashMap<>();
 
   /**
-   * A worker obeyed a message with this token: its epoch must be of a claim of the controller that
-   * sent it. Which process of several on loopback sent it cannot be told.
+   * Checks a message that a worker obeyed: the epoch of its token must be that of a claim of the
+   * controller that sent it. The sender is unknown if the controllers are processes on loopback.
    */
   void obeyed(String worker, long token, String from) {
     long epoch = token >> Constants.TOKEN_BITS;
@@ -291,7 +297,7 @@
     }
   }
 
-  /** The final states that users were told, by job: there may be one only. */
+  /** The final statuses that users were told, by job: at most one is allowed. */
   private final Map<String, Set<String>> finalStatusesTold = new HashMap<>();
 
   private void recordFinalStatus(String id, String status) {
@@ -309,8 +315,8 @@
   }
 
   /**
-   * What a user was told, and what had been told when the request was sent: an answer that was
-   * under way at the same time as another may come after it.
+   * Checks an answer to a user. {@code statusBefore} is the status that users had been told when
+   * the request was sent, since answers to concurrent requests may arrive in any order.
    */
   void answered(String id, int status, JsonNode body, String statusBefore) {
     if (status == 404 && statusBefore != null) {
