--- a/src/test/java/org/baygw/control/sim/CloudStub.java
+++ b/src/test/java/org/baygw/control/sim/CloudStub.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import org.baygw.control.core.Json;
 
-/** The cloud, by its protocol: one machine type of 16 CPUs and 64 GB. */
+/** Simulates the cloud by its protocol, with one machine type of 16 CPUs and 64 GB. */
 final class CloudStub {
   static final String TYPE = "c16";
   private static final int MAX_LISTED = 500;
@@ -37,13 +37,13 @@
   private long slowFactor;
   int capacity = 40;
 
-  /** How many of them may be spot machines. */
+  /** Maximum number of spot machines within the capacity. */
   int spotCapacity = Integer.MAX_VALUE;
 
   long bootMs = 8_000;
   int rentals;
 
-  /** The first request that goes over a limit of the protocol, or null. */
+  /** Description of the first request over a limit of the protocol, or null. */
   String firstLimitViolation;
 
   CloudStub(SimulatedCluster cluster) {
@@ -58,7 +58,7 @@
     neverBootsLeft = count;
   }
 
-  /** So many of the next machines take that many times as long to boot. */
+  /** The next {@code count} rented machines take {@code factor} times as long to boot. */
   void nextBootSlowly(int count, long factor) {
     slowBootsLeft = count;
     slowFactor = factor;
@@ -108,7 +108,7 @@
     cluster.after(1_000, () -> publish(name));
   }
 
-  /** The cloud takes a machine away, or it dies. */
+  /** Removes a machine: the cloud reclaims it, or it dies. */
   void remove(String name) {
     machines.remove(name);
     WorkerStub worker = cluster.workers.remove(name);
@@ -140,7 +140,7 @@
     }
   }
 
-  /** A page of the list: the machines after the one that the request names, in their order. */
+  /** Answers a page of the list: the machines after the one that the request names, by name. */
   private void list(String path, StateServiceStub.ResponseCallback respond) {
     int at = path.indexOf("after=");
     String after = at < 0 ? "" : path.substring(at + "after=".length()).split("&")[0];
--- a/src/test/java/org/baygw/control/sim/StateServiceStub.java
+++ b/src/test/java/org/baygw/control/sim/StateServiceStub.java
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 import org.baygw.control.core.Json;
 
-/** The state service, by its protocol. */
+/** Simulates the state service by its protocol. */
 final class StateServiceStub {
-  /** Sends an answer. */
+  /** Sends the answer to a request. */
   interface ResponseCallback {
     void done(int status, byte[] body);
   }
@@ -41,12 +41,12 @@
   private long rateTokensAt;
   private boolean ratesEnforced;
 
-  /** Changes asked for, by the kind of key. */
+  /** Number of requested changes, by the kind of their keys. */
   final Map<String, Integer> writes = new TreeMap<>();
 
   int refusals;
 
-  /** The first write that goes over a limit of the protocol, or null. */
+  /** Description of the first transaction over a limit of the protocol, or null. */
   String firstLimitViolation;
 
   StateServiceStub(SimulatedCluster cluster) {
@@ -59,7 +59,7 @@
       cluster.after(
           ms,
           () -> {
-            leases.values().forEach(h -> h[1] = cluster.now() + h[0]); // full time again
+            leases.values().forEach(h -> h[1] = cluster.now() + h[0]); // renewed for their full TTL
             answerWatches();
           });
     } else {
@@ -71,16 +71,19 @@
   private double lateShare;
   private long lateUntil;
 
-  /** That share of transactions gets no answer and is carried out 2 to 12 s later. */
+  /** This share of transactions gets no answer and is applied 2 to 12 s later. */
   void lateWrites(double share, long forMs) {
     lateShare = share;
     lateUntil = cluster.now() + forMs;
   }
 
-  /** An answer with more changes than this takes longer than any caller waits. */
+  /**
+   * A watch with more changes than this gets no answer: sending it would take longer than any
+   * caller waits.
+   */
   int maxAnswerChanges = Integer.MAX_VALUE;
 
-  /** Refuses what goes over the limits in the settings. */
+  /** From now on, refuses requests over the rates in the settings. */
   void enforceRates() {
     ratesEnforced = true;
     rateTokens[0] = cluster.stateRps;
@@ -116,7 +119,7 @@
     return items.keySet().stream().anyMatch(k -> k.startsWith(prefix));
   }
 
-  /** Whether the controller holds the claim of a partition. */
+  /** Whether the controller holds the claim of at least one partition. */
   boolean ownsPartition(String label) {
     return items.entrySet().stream()
         .anyMatch(
@@ -241,7 +244,10 @@
     }
   }
 
-  /** The protocol's limits of a transaction: changes, conditions, bytes, bytes of a value. */
+  /**
+   * Whether a transaction is over the protocol's limits on changes, conditions, its bytes or the
+   * bytes of a value.
+   */
   private boolean tooLarge(JsonNode request) {
     int ops = cluster.stateTxnOps;
     String violation = null;
@@ -268,7 +274,7 @@
     return violation != null;
   }
 
-  /** Most pages that a partition's record has. */
+  /** The largest number of pages of any partition's record. */
   int maxPages() {
     return items.entrySet().stream()
         .filter(e -> e.getKey().startsWith("b/run/"))
@@ -354,7 +360,7 @@
     }
   }
 
-  /** Where the changes after a revision begin. */
+  /** Index in the history of the first change after a revision. */
   private int indexAfter(long afterRevision) {
     int low = 0;
     int high = history.size();
@@ -375,7 +381,7 @@
 
   private boolean answer(Watch watch, boolean open) {
     if (open && unavailable(watch.from())) {
-      return false; // open watches stay open in an outage
+      return false; // watches stay open during an outage
     }
     int from = Math.max(0, history.size() - keepHistory);
     if (from > 0 && watch.afterRevision() < history.get(from).revision() - 1) {
--- a/src/test/java/org/baygw/control/sim/WorkerStub.java
+++ b/src/test/java/org/baygw/control/sim/WorkerStub.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.baygw.control.core.Json;
 
-/** A worker, by its protocol. */
+/** Simulates a worker by its protocol. */
 final class WorkerStub {
   /** One attempt at a task. */
   static final class Attempt {
@@ -84,7 +84,7 @@
         });
   }
 
-  /** CPUs that no task takes; none where the machine is gone. */
+  /** CPUs that no task uses; a machine that is gone or sick has none. */
   double freeCpus() {
     double free = dead || sick ? 0 : 16;
     for (Attempt attempt : attempts.values()) {
@@ -102,7 +102,7 @@
       return;
     }
     long now = cluster.now();
-    // A hanging machine goes on with its tasks within its lease only: after it they are over.
+    // A hung machine runs its tasks only until its lease expires.
     if (now - lastAnsweredReportAt > cluster.leaseMs) {
       if (hung) {
         attempts.values().stream()
@@ -180,7 +180,7 @@
     }
   }
 
-  /** Takes the token of a message whose orders are about to be carried out. */
+  /** Records the token of a message whose orders are about to be executed. */
   private void accept(JsonNode message, String from) {
     long newToken = message.path("baton").asLong();
     boolean launches = false;
@@ -264,12 +264,12 @@
             attempts.remove(task);
           }
         }
-        default -> throw new IllegalStateException("an order that workers do not know: " + order);
+        default -> throw new IllegalStateException("unknown order: " + order);
       }
     }
   }
 
-  /** Starts a task at once that no controller asked for. */
+  /** Starts a task that no controller has ordered. */
   void launchUnrequested(String task) {
     images.add(cluster.checker.job(task).image());
     launch(task, 99);
