--- a/src/test/java/org/baygw/control/sim/Scenario.java
+++ b/src/test/java/org/baygw/control/sim/Scenario.java
@@ -23,7 +23,7 @@
 
   private long faultsEndAt;
 
-  /** Warm standby that keeps so few decisions for one that lags. */
+  /** Warm standby that keeps only this many decisions for a standby that lags. */
   private static Features standbyKeeping(int decisions) {
     Features.Standby defaults = Features.Standby.DEFAULTS;
     return new Features(
@@ -31,12 +31,12 @@
             defaults.batchMs(), defaults.heartbeatMs(), defaults.suspectMs(), decisions));
   }
 
-  /** Plays the text and returns what was not as expected. */
+  /** Plays the scenario in the text and returns its failures. */
   static List<String> play(String text) {
     return prepare(text).runToEnd();
   }
 
-  /** Reads a scenario, to be played out later. */
+  /** Parses a scenario, to be played later. */
   static Scenario prepare(String text) {
     Scenario scenario = new Scenario();
     for (String line : text.split("\n")) {
@@ -48,13 +48,13 @@
     return scenario;
   }
 
-  /** Plays it and returns what was not as expected. */
+  /** Plays the scenario and returns its failures. */
   List<String> runToEnd() {
     run();
     return failures;
   }
 
-  /** The cluster that it was played in. */
+  /** The cluster in which the scenario is played. */
   SimulatedCluster cluster() {
     return cluster;
   }
@@ -77,7 +77,8 @@
       case "run" -> endMs = ScenarioWords.millis(words[1]);
       case "expect" -> expectations.add(words);
       case "machines", "at", "set" -> setUp.add(words);
-      default -> throw new IllegalArgumentException("no such line: " + String.join(" ", words));
+      default ->
+          throw new IllegalArgumentException("unknown scenario line: " + String.join(" ", words));
     }
   }
 
@@ -88,7 +89,7 @@
     evaluate();
   }
 
-  /** Makes the cluster and schedules what happens in it. */
+  /** Creates the cluster and schedules the scenario's actions. */
   void setUpCluster() {
     if (teams.isEmpty()) {
       teams.add(new Settings.Team("red", 64, 256, 0, 0));
@@ -146,21 +147,21 @@
     cluster.after(faultsEndAt, cluster.checker::watchWaitingJobs);
   }
 
-  /** When the scenario is over, in ms. */
+  /** The scenario's end, in ms. */
   long endMs() {
     return endMs;
   }
 
-  /** What was not as expected; to be called when it is over. */
+  /** Checks the expectations and returns the failures; to be called at the scenario's end. */
   List<String> evaluate() {
     cluster.checker.checkForgotten(faultsEndAt);
     ScenarioExpectations expected = new ScenarioExpectations(cluster, failures);
     expectations.forEach(expected::expect);
     if (cluster.state.firstLimitViolation != null) {
-      failures.add("the state service was asked for " + cluster.state.firstLimitViolation);
+      failures.add("over a limit of the state service: " + cluster.state.firstLimitViolation);
     }
     if (cluster.cloud.firstLimitViolation != null) {
-      failures.add("the cloud was asked for " + cluster.cloud.firstLimitViolation);
+      failures.add("over a limit of the cloud: " + cluster.cloud.firstLimitViolation);
     }
     if (!expected.expectsViolation() && !cluster.checker.violations.isEmpty()) {
       failures.add("broken: " + cluster.checker.violations);
@@ -169,7 +170,7 @@
   }
 
   private void schedule(String[] words) {
-    // "late": a copy of a message is trouble until it has come.
+    // A duplicate that is delivered late is a fault until its delivery.
     faultsEndAt =
         Math.max(
             faultsEndAt,
@@ -179,7 +180,10 @@
     cluster.after(ScenarioWords.millis(words[1]), () -> actions.act(words));
   }
 
-  /** at 2 every 0.5 until 60 submit run-# ...: the same again and again, # being a number. */
+  /**
+   * Schedules an action repeatedly, as in {@code at 2 every 0.5 until 60 submit run-# ...}, with #
+   * replaced by the number of the repetition.
+   */
   private void scheduleRepeatedly(String[] words) {
     int number = 0;
     for (long atMs = ScenarioWords.millis(words[1]);
--- a/src/test/java/org/baygw/control/sim/ScenarioActions.java
+++ b/src/test/java/org/baygw/control/sim/ScenarioActions.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.baygw.control.core.Json;
 
-/** What happens in a scenario: what users do, and the troubles. */
+/** Executes the actions of a scenario: users' requests and faults. */
 final class ScenarioActions {
   private final SimulatedCluster cluster;
   private final ScenarioUsers users;
@@ -16,7 +16,7 @@
     this.failures = failures;
   }
 
-  /** The controller that leads by the state service, or null. */
+  /** The leader's controller according to the state service, or null. */
   SimulatedCluster.Node leader() {
     JsonNode claim = cluster.state.value("b/claim/leader");
     return claim == null ? null : cluster.nodes.get(claim.path("owner").asText());
@@ -24,12 +24,12 @@
 
   void restart(SimulatedCluster.Node node) {
     if (node.isAlive()) {
-      node.crash(); // it has not ended by itself
+      node.crash(); // it has not shut down in time
     }
     node.start();
   }
 
-  /** Asks a controller to hand its roles over, and to take them again after some time. */
+  /** Asks a controller to hand its roles over and, if a time is given, to take them back then. */
   void handover(String label, String method, long forMs) {
     cluster.call(
         "operator",
@@ -54,7 +54,7 @@
     return List.of(pattern);
   }
 
-  /** Breaks a rule in the world itself, to show that the checker sees it. */
+  /** Breaks a rule in the cluster on purpose, to test that the checker detects it. */
   void violate(String[] words) {
     if (words[3].equals("silence")) {
       users.unpolled.add(words[4]);
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Carries out what a line says. */
+  /** Executes the action of one scenario line. */
   void act(String[] words) {
     long forMs = ScenarioWords.millis(ScenarioWords.wordAfter(words, "for", "0"));
     switch (words[2]) {
@@ -96,7 +96,7 @@
     }
   }
 
-  /** What is done to controllers. */
+  /** Executes an action on controllers. */
   private void actOnControllers(String[] words) {
     long forMs = ScenarioWords.millis(ScenarioWords.wordAfter(words, "for", "0"));
     switch (words[2]) {
@@ -111,7 +111,7 @@
       case "crash-leader" -> {
         SimulatedCluster.Node node = leader();
         if (node == null) {
-          return; // nobody holds it just now
+          return; // no controller is the leader now
         }
         node.crash();
         cluster.lastCrashAt = cluster.now();
@@ -145,7 +145,7 @@
     }
   }
 
-  /** What is done to messages and to the services outside. */
+  /** Executes a fault of the network or of an external service. */
   private void actOnNetwork(String[] words) {
     long forMs = ScenarioWords.millis(ScenarioWords.wordAfter(words, "for", "0"));
     switch (words[2]) {
@@ -159,7 +159,7 @@
         }
       }
       case "apart" -> {
-        // Cut off from the state service and the siblings, not from workers and users.
+        // Isolates a controller from the state service and its peers, not from workers and users.
         for (String other : hostsNamed("controllers")) {
           cluster.cut(words[3], other, SimulatedCluster.Cut.DROP, forMs);
           cluster.cut(other, words[3], SimulatedCluster.Cut.DROP, forMs);
@@ -172,7 +172,7 @@
           cluster.state.lateWrites(
               Double.parseDouble(ScenarioWords.wordAfter(words, "share", "1")), forMs);
       case "cut-zone-workers" -> {
-        // Cut off from the controllers of other zones; what its own controllers say still arrives.
+        // Isolates a zone's workers from controllers of other zones, but not from those of its own.
         for (WorkerStub worker : cluster.workers.values()) {
           for (SimulatedCluster.Node node : cluster.nodes.values()) {
             if (worker.zone.equals(words[3]) && !node.zone.equals(words[3])) {
@@ -196,7 +196,7 @@
     }
   }
 
-  /** What is done to machines. */
+  /** Executes an action on machines. */
   private void actOnMachines(String[] words) {
     long forMs = ScenarioWords.millis(ScenarioWords.wordAfter(words, "for", "0"));
     switch (words[2]) {
@@ -204,7 +204,7 @@
       case "hang-some" -> {
         int count = Integer.parseInt(words[3]);
         if (cluster.workers.size() < count) {
-          failures.add("only " + cluster.workers.size() + " machines are there to hang");
+          failures.add("only " + cluster.workers.size() + " machines exist that can hang");
         }
         cluster.workers.values().stream().limit(count).forEach(worker -> worker.hang(forMs));
       }
@@ -214,7 +214,7 @@
         cluster.workers.get(words[3]).reclaimAt = cluster.now() + forMs;
         cluster.after(forMs, () -> cluster.cloud.remove(words[3]));
       }
-      default -> throw new IllegalArgumentException("no such act: " + words[2]);
+      default -> throw new IllegalArgumentException("unknown action: " + words[2]);
     }
   }
 }
--- a/src/test/java/org/baygw/control/sim/ScenarioExpectations.java
+++ b/src/test/java/org/baygw/control/sim/ScenarioExpectations.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What is to be so when a scenario is over. */
+/** Checks a scenario's expectations at its end. */
 final class ScenarioExpectations {
   private final SimulatedCluster cluster;
   private final List<String> failures;
@@ -14,7 +14,7 @@
     this.failures = failures;
   }
 
-  /** Whether some rule was expected to be broken. */
+  /** Whether the scenario expects a rule to be broken. */
   boolean expectsViolation() {
     return expectsViolation;
   }
@@ -58,7 +58,7 @@
       case "begun" -> {
         Long at = cluster.checker.firstStartedAt.get(words[2]);
         if (at == null || at > ScenarioWords.millis(ScenarioWords.wordAfter(words, "by", "0"))) {
-          failures.add(words[2] + " began at " + at);
+          failures.add(words[2] + " first started at " + at);
         }
       }
       case "changes-a-start-at-most" -> {
@@ -79,7 +79,7 @@
         expectsViolation = true;
         if (cluster.checker.violations.stream().noneMatch(b -> b.startsWith(words[2] + ":"))) {
           failures.add(
-              "the checker did not see " + words[2] + " but " + cluster.checker.violations);
+              "the checker did not detect " + words[2] + " but " + cluster.checker.violations);
         }
       }
       default -> expectOfCluster(words);
@@ -87,7 +87,8 @@
   }
 
   /**
-   * How long after the last end of a controller that scenarios time its roles gave orders again.
+   * Checks how long after the last crash of the leader's controller or termination of any the roles
+   * that changed hands gave orders again. Partitions without workers are left out.
    */
   void checkFirstOrders(long withinMs) {
     int found = 0;
@@ -104,7 +105,7 @@
             entry.getKey()
                 + ": first order "
                 + (failover.firstOrderAt - cluster.lastCrashAt)
-                + " ms after");
+                + " ms after the controller's end");
       }
     }
     if (found == 0) {
@@ -112,7 +113,7 @@
     }
   }
 
-  /** What the administration API tells of warm standby, summed over the controllers. */
+  /** Sums a value of the administration API's warm standby status over the controllers. */
   long standbySum(String pointer) {
     long sum = 0;
     for (SimulatedCluster.Node node : cluster.nodes.values()) {
@@ -126,34 +127,34 @@
   void checkStandbyStatus(String pointer, long least, long most) {
     long sum = standbySum(pointer);
     if (sum < least || sum > most) {
-      failures.add(pointer + " is " + sum + " in all");
+      failures.add(pointer + " is " + sum + " in total");
     }
   }
 
-  /** KB of replication a second, of the busiest controller. */
+  /** Checks the replication traffic of each controller, in KB/s. */
   void checkReplicationRate(double maxKbPerS) {
     for (SimulatedCluster.Node node : cluster.nodes.values()) {
       double bytes = node.standbyStatus().at("/replication/bytes_sent").asDouble();
       double kbPerS = bytes / 1024 / (cluster.now() / 1000.0);
       if (kbPerS > maxKbPerS) {
-        failures.add(node.label + " sends " + kbPerS + " KB a second of replication");
+        failures.add(node.label + " sends " + kbPerS + " KB/s of replication");
       }
     }
   }
 
-  /** What became of records, claims and machines. */
+  /** Checks an expectation on records, claims and machines. */
   private void expectOfCluster(String[] words) {
     switch (words[1]) {
       case "pages-at-least" -> {
         int most = cluster.state.maxPages();
         if (most < Integer.parseInt(words[2])) {
-          failures.add("no part's record has more than " + most + " pages");
+          failures.add("no partition's record has more than " + most + " pages");
         }
       }
       case "claim-changes-at-most" -> {
         int changes = cluster.state.writes.getOrDefault("claim", 0);
         if (changes > Integer.parseInt(words[2])) {
-          failures.add(changes + " changes of claims");
+          failures.add(changes + " claim changes");
         }
       }
       case "never-left" -> {
@@ -179,20 +180,20 @@
       case "all-own-partitions" -> {
         for (String label : cluster.labels) {
           if (!cluster.state.ownsPartition(label)) {
-            failures.add(label + " holds no part");
+            failures.add(label + " holds no partition");
           }
         }
       }
       case "no-machine-on-record" -> {
         if (cluster.state.hasKeysUnder("b/machine/")) {
-          failures.add("a machine is on record");
+          failures.add("the state service has a record of a machine");
         }
       }
       default -> expectWork(words);
     }
   }
 
-  /** How much was used, and what the controllers' cores did: it may not grow unnoticed. */
+  /** Checks limits on resource use and on the cores' work, so that neither grows unnoticed. */
   void expectWork(String[] words) {
     switch (words[1]) {
       case "first-orders-within" -> checkFirstOrders(ScenarioWords.millis(words[2]));
@@ -220,7 +221,7 @@
       case "allocated-kb-a-start-at-most" ->
           checkAtMost(
               "KB a start", cluster.work.bytes() / 1024.0 / cluster.checker.starts, words[2]);
-      default -> throw new IllegalArgumentException("no such expectation: " + words[1]);
+      default -> throw new IllegalArgumentException("unknown expectation: " + words[1]);
     }
   }
 }
--- a/src/test/java/org/baygw/control/sim/ScenarioTest.java
+++ b/src/test/java/org/baygw/control/sim/ScenarioTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Plays every file under scenarios/, or with {@code -Dscenario=TEXT} those whose names have the
+ * Plays every file under scenarios/, or with {@code -Dscenario=TEXT} those whose names contain the
  * text.
  */
 final class ScenarioTest {
@@ -41,7 +41,7 @@
     assertEquals(List.of(), Scenario.play(text(name)));
   }
 
-  /** What holds without warm standby holds with it. */
+  /** All expectations must also hold with warm standby. */
   @ParameterizedTest
   @MethodSource("scenarios")
   void playsWithStandby(String name) throws IOException, URISyntaxException {
--- a/src/test/java/org/baygw/control/sim/ScenarioUsers.java
+++ b/src/test/java/org/baygw/control/sim/ScenarioUsers.java
@@ -10,15 +10,15 @@
 import org.baygw.control.core.Json;
 import org.baygw.control.core.Outbox;
 
-/** The users of a scenario: they submit, ask and cancel, and try again until they are answered. */
+/** The users of a scenario: they submit, poll and cancel jobs, and retry until answered. */
 final class ScenarioUsers {
   private final SimulatedCluster cluster;
   private final List<String> failures;
 
-  /** Submissions, as they were sent. */
+  /** Bodies of the submissions sent, by job. */
   private final Map<String, byte[]> sent = new TreeMap<>();
 
-  /** Jobs about which nothing is asked any more. */
+  /** Jobs that are no longer polled. */
   final Set<String> unpolled = new HashSet<>();
 
   ScenarioUsers(SimulatedCluster cluster, List<String> failures) {
@@ -26,7 +26,7 @@
     this.failures = failures;
   }
 
-  /** Calls off jobs that run, within a fifth of a second; their machines may hang. */
+  /** Cancels running jobs within 0.2 s; their machines hang if {@code hangMs} is positive. */
   void cancelNow(String[] words, long hangMs) {
     int remaining = Integer.parseInt(ScenarioWords.options(words, 3).getOrDefault("count", "1"));
     for (String id : cluster.checker.running()) {
@@ -39,7 +39,10 @@
     }
   }
 
-  /** Repeats submissions, cancels what is done, sends what can never run or lacks a field. */
+  /**
+   * Repeats submissions, cancels jobs that are done, and submits jobs that can never run or lack a
+   * field.
+   */
   void sendOddRequests(long untilMs) {
     if (cluster.now() >= untilMs) {
       return;
@@ -60,7 +63,10 @@
     cluster.after(500, () -> sendOddRequests(untilMs));
   }
 
-  /** Sends a submission that is to be refused with this status, once the service can tell. */
+  /**
+   * Sends a submission that must be refused with this status; 429, 503 and a missing answer are
+   * allowed while the service cannot decide.
+   */
   void submitExpectingRefusal(ObjectNode body, String id, int status) {
     List<String> live = new ArrayList<>(cluster.liveLabels());
     if (live.isEmpty()) {
@@ -76,7 +82,7 @@
         5_000,
         (s, answer) -> {
           if (s > 0 && s != status && s != 503 && s != 429) {
-            failures.add("a submission to be refused with " + status + " was answered " + s);
+            failures.add("a submission that must be refused with " + status + " was answered " + s);
           }
         });
   }
@@ -120,7 +126,7 @@
     void answered(String id);
   }
 
-  /** Asks a live controller until it gets a final status. */
+  /** Sends a request to random live controllers until one gives a final answer. */
   void ask(
       String method, String path, byte[] body, String id, int attempts, AnswerCallback callback) {
     if (attempts > 300) {
--- a/src/test/java/org/baygw/control/sim/ScenarioWords.java
+++ b/src/test/java/org/baygw/control/sim/ScenarioWords.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The words of a line of a scenario. */
+/** Reads options and values from the words of a scenario line. */
 final class ScenarioWords {
 
   static Map<String, String> options(String[] words, int from) {
