--- a/src/test/java/org/baygw/control/sim/FailoverMeasurement.java
+++ b/src/test/java/org/baygw/control/sim/FailoverMeasurement.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Where the time from a controller's death to its successor's first order goes, in simulated time.
+ * Measures the phases from a controller's crash to its successor's first order, in simulated time.
  * Not part of the build: {@code mvn test -Dtest=FailoverMeasurement [-Dkills=100]
  * [-Dstandby=true]}.
  */
@@ -18,7 +18,8 @@
   private static final boolean STANDBY = Boolean.getBoolean("standby");
 
   /**
-   * Twenty machines with short tasks and services; the leader's controller dies at a random time.
+   * Twenty machines with short tasks and a service; the leader's controller crashes at a time that
+   * depends on the seed.
    */
   private static String scenarioText(long seed) {
     double at = 30 + (seed * 37 % 100) / 20.0;
@@ -46,7 +47,7 @@
     FailoverPhases partitions = new FailoverPhases("partition owner");
     for (long seed = 1; seed <= KILLS; seed++) {
       Scenario scenario = Scenario.prepare(scenarioText(seed));
-      assertEquals(List.of(), scenario.runToEnd(), "day " + seed);
+      assertEquals(List.of(), scenario.runToEnd(), "seed " + seed);
       SimulatedCluster cluster = scenario.cluster();
       long crashedAt = cluster.lastCrashAt;
       for (Map.Entry<String, FailoverProbe.Failover> entry : cluster.probe.latest.entrySet()) {
--- a/src/test/java/org/baygw/control/sim/FailoverOnLoopback.java
+++ b/src/test/java/org/baygw/control/sim/FailoverOnLoopback.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Where the time from a controller's death to its successors' first orders goes, with real
- * processes in real time, and many random days of kills and pauses. Not part of the build; needs
- * the built jar: {@code mvn test -Dtest=FailoverOnLoopback#kills -DargLine="-Dclusters=4 -Dkills=25
- * -Dstandby=true"}, {@code #randomDays} with {@code -Dseconds=300}.
+ * Measures the phases from a controller's crash to its successors' first orders, with real
+ * processes in real time, and plays random scenarios of kills and pauses. Not part of the build;
+ * needs the built jar: {@code mvn test -Dtest=FailoverOnLoopback#kills -DargLine="-Dclusters=4
+ * -Dkills=25 -Dstandby=true"}, {@code #randomDays} with {@code -Dseconds=300}.
  */
 final class FailoverOnLoopback {
   private static final int CLUSTERS = Integer.getInteger("clusters", 4);
@@ -29,7 +29,7 @@
     String text(long seed);
   }
 
-  /** Plays one day for each cluster, all at the same time. */
+  /** Plays one scenario for each cluster, all at the same time. */
   private static List<Scenario> play(ScenarioSource source) throws Exception {
     ExecutorService threads = Executors.newFixedThreadPool(CLUSTERS);
     List<Future<Scenario>> played = new ArrayList<>();
@@ -50,7 +50,7 @@
     Path logs = LOGS.resolve(seed + (STANDBY ? "-on" : "-off"));
     List<String> failures =
         ProcessScenarios.play(scenario, ProcessScenarios.command(STANDBY), logs);
-    assertEquals(List.of(), failures, "day " + seed);
+    assertEquals(List.of(), failures, "seed " + seed);
     return scenario;
   }
 
@@ -70,10 +70,10 @@
     for (Scenario scenario : play(seed -> ProcessScenarios.pauses(seed, SECONDS))) {
       done += scenario.cluster().checker.doneToldAt.size();
     }
-    System.out.println(CLUSTERS + " days of pauses, " + done + " jobs done");
+    System.out.println(CLUSTERS + " scenarios of pauses, " + done + " jobs done");
   }
 
-  /** What controllers use while nothing fails: after the start, with steady work, and when idle. */
+  /** Prints the resources used without faults: after the start, under steady work, when idle. */
   @Test
   void cost() throws Exception {
     Scenario scenario =
@@ -100,6 +100,6 @@
     for (Scenario scenario : play(seed -> ProcessScenarios.random(seed, SECONDS))) {
       done += scenario.cluster().checker.doneToldAt.size();
     }
-    System.out.println(CLUSTERS + " days of " + SECONDS + " s, " + done + " jobs done");
+    System.out.println(CLUSTERS + " random scenarios of " + SECONDS + " s, " + done + " jobs done");
   }
 }
--- a/src/test/java/org/baygw/control/sim/ManyRandomDays.java
+++ b/src/test/java/org/baygw/control/sim/ManyRandomDays.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many random days with warm standby. Not part of the build: {@code mvn test -Dtest=ManyRandomDays
- * [-DargLine="-Dfirst=1 -Ddays=200"]}.
+ * Plays many random scenarios with warm standby, one for each seed. Not part of the build: {@code
+ * mvn test -Dtest=ManyRandomDays [-DargLine="-Dfirst=1 -Ddays=200"]}.
  */
 final class ManyRandomDays {
   private static final long FIRST = Long.getLong("first", 1);
@@ -24,7 +24,7 @@
               List<String> found = Scenario.play(RandomFaultTest.faultsWithStandby(seed));
               if (!found.isEmpty()) {
                 synchronized (failed) {
-                  failed.add("day " + seed + ": " + found);
+                  failed.add("seed " + seed + ": " + found);
                 }
               }
             });
--- a/src/test/java/org/baygw/control/sim/RandomFaultTest.java
+++ b/src/test/java/org/baygw/control/sim/RandomFaultTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Days of random jobs and faults, each from its seed: no rule may break, whatever else happens. */
+/** Random jobs and faults, generated from a seed: no rule may be broken, whatever happens. */
 final class RandomFaultTest {
   private static final String[] CONTROLLERS = {"yurt-0", "yurt-1", "yurt-2"};
   private static final int SEEDS_PER_TEST = 12;
@@ -25,7 +25,7 @@
     return lines.append("machines zone=a count=3\nmachines zone=b count=2\nmachines zone=a spot\n");
   }
 
-  /** A job's submission; one in so many is called off within so many seconds. */
+  /** A job's submission; one in {@code oneIn} jobs is cancelled within {@code within} seconds. */
   private static String submission(
       Random random, double at, int number, String options, int oneIn, double within) {
     String line =
@@ -94,7 +94,7 @@
   }
 
   /**
-   * Days on which the operators' troubles meet: two or three at about the same moment, six times.
+   * Overlapping faults that operators may meet: six times, two or three faults begin within 3 s.
    */
   static String overlappingFaults(long seed) {
     Random random = new Random(seed);
@@ -161,11 +161,11 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void keepsTheRulesUnderOverlappingFaults(long block) {
     for (long seed = block * 1000; seed < block * 1000 + SEEDS_PER_TEST; seed++) {
-      assertEquals(List.of(), Scenario.play(overlappingFaults(seed)), "day " + seed);
+      assertEquals(List.of(), Scenario.play(overlappingFaults(seed)), "seed " + seed);
     }
   }
 
-  /** The same with controllers that stand still for seconds, the leader oftener than others. */
+  /** Overlapping faults and controllers that freeze for seconds, most often the leader. */
   static String overlappingFaultsWithFreezes(long seed) {
     Random random = new Random(seed);
     StringBuilder lines = new StringBuilder();
@@ -184,11 +184,14 @@
   @ValueSource(longs = {1, 2, 3})
   void keepsTheRulesWhenControllersFreeze(long block) {
     for (long seed = block * 1000; seed < block * 1000 + SEEDS_PER_TEST; seed++) {
-      assertEquals(List.of(), Scenario.play(overlappingFaultsWithFreezes(seed)), "day " + seed);
+      assertEquals(List.of(), Scenario.play(overlappingFaultsWithFreezes(seed)), "seed " + seed);
     }
   }
 
-  /** Days of freezes and meeting troubles with warm standby on, and with what is new with it. */
+  /**
+   * Freezes and overlapping faults with warm standby on, and also terminations, handovers and
+   * faults between controllers.
+   */
   static String faultsWithStandby(long seed) {
     Random random = new Random(seed);
     StringBuilder lines =
@@ -217,11 +220,11 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void keepsTheRulesWithStandby(long block) {
     for (long seed = block * 1000; seed < block * 1000 + SEEDS_PER_TEST; seed++) {
-      assertEquals(List.of(), Scenario.play(faultsWithStandby(seed)), "day " + seed);
+      assertEquals(List.of(), Scenario.play(faultsWithStandby(seed)), "seed " + seed);
     }
   }
 
-  /** Days that broke a rule once: what was wrong on each stands in docs/SAFETY.md. */
+  /** Seeds that once broke a rule; docs/SAFETY.md describes the fault behind each. */
   @ParameterizedTest
   @ValueSource(longs = {272, 547, 569, 661, 687, 756})
   void keepsTheRulesOnFormerlyFailingSeeds(long seed) {
@@ -232,7 +235,7 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void keepsTheRulesUnderIndependentFaults(long block) {
     for (long seed = block * 1000; seed < block * 1000 + SEEDS_PER_TEST; seed++) {
-      assertEquals(List.of(), Scenario.play(independentFaults(seed)), "day " + seed);
+      assertEquals(List.of(), Scenario.play(independentFaults(seed)), "seed " + seed);
     }
   }
 }
