--- a/src/test/java/org/baygw/control/sim/ProcessCluster.java
+++ b/src/test/java/org/baygw/control/sim/ProcessCluster.java
@@ -30,12 +30,15 @@
 import org.baygw.control.core.Outbox;
 
 /**
- * A scenario's controllers as real processes of the built jar on loopback, in real time. The state
- * service, the cloud, the workers and the users are the simulated cluster's stand-ins, reached over
- * HTTP and all run by one thread. Kills and pauses only processes that it has started itself.
+ * Runs a scenario's controllers as real processes of the built jar on loopback, in real time. The
+ * state service, the cloud, the workers and the users are the simulated cluster's stubs, reached
+ * over HTTP and all run by one thread. Kills and pauses only processes that it has started itself.
  */
 final class ProcessCluster implements SimulatedCluster.RemoteControllers, AutoCloseable {
-  /** Whoever sends orders to a worker: its address is the same for all controllers. */
+  /**
+   * Sender of orders to a worker: the worker's address is the same for all controllers, so it is
+   * not known which of them sent an order.
+   */
   static final String ANY_CONTROLLER = "any controller";
 
   private static final Duration TIMEOUT = Duration.ofSeconds(6);
@@ -58,7 +61,7 @@
   private final Map<String, Process> processes = new HashMap<>();
   private final Map<String, Path> configs = new HashMap<>();
 
-  /** Ports of each controller: for users and workers, and for its siblings. */
+  /** Two ports of each controller: one for users and workers, one for its peers. */
   private final Map<String, int[]> ports = new HashMap<>();
 
   private final long startNanos = System.nanoTime();
@@ -101,7 +104,7 @@
     }
   }
 
-  /** Serves a stand-in; what comes in there comes from the given host. */
+  /** Serves a stub; all its requests count as sent by the given host. */
   private HttpServer listen(String from, String to) throws IOException {
     HttpServer server = HttpServer.create(new InetSocketAddress(LOOPBACK, 0), 0);
     server.setExecutor(threads);
@@ -131,11 +134,11 @@
       exchange.sendResponseHeaders(status, answer.length == 0 ? -1 : answer.length);
       exchange.getResponseBody().write(answer);
     } catch (IOException e) {
-      // The process that asked is gone.
+      // The requesting process is gone.
     }
   }
 
-  /** The platform's settings file of a controller. */
+  /** Content of a controller's settings file, as the platform writes it. */
   private String toml(Settings settings, String cloud, String state) {
     StringBuilder text = new StringBuilder();
     int[] own = ports.get(settings.label());
@@ -173,7 +176,7 @@
     return text.append("max_connections = 1000\n").toString();
   }
 
-  /** Runs the world in real time until then. */
+  /** Runs the cluster in real time until the given time. */
   void runUntil(long endMs) throws InterruptedException {
     while (elapsedMs() < endMs) {
       cluster.runUntil(elapsedMs());
@@ -284,7 +287,7 @@
                     }));
   }
 
-  /** What each process has used so far: processor time in ms, and resident memory in MB. */
+  /** Processor time in ms and resident memory in MB that each process has used so far. */
   Map<String, String> usage() throws IOException {
     Map<String, String> usage = new TreeMap<>();
     for (Map.Entry<String, Process> entry : processes.entrySet()) {
--- a/src/test/java/org/baygw/control/sim/ProcessScenarios.java
+++ b/src/test/java/org/baygw/control/sim/ProcessScenarios.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 import java.util.Random;
 
-/** Days on loopback with processes that are killed, paused and ended at random, from a seed. */
+/** Loopback scenarios from a seed: processes are killed, paused and terminated at random. */
 final class ProcessScenarios {
   private static final Path DEPLOY = Path.of("deploy/service.toml");
   private static final String FEATURES = "--features";
 
-  /** One controller's end that is measured, for each so many s: it is back and settled by then. */
+  /** Time between measured kills: the killed controller is back and settled by the next. */
   private static final double KILL_PERIOD_S = 18;
 
   private ProcessScenarios() {}
 
-  /** The command line that is deployed, with the features file or without it. */
+  /** The deployed command line, with or without the features file. */
   static List<String> command(boolean standby) throws IOException {
     String text = Files.readString(DEPLOY);
     int at = text.indexOf("run = \"") + "run = \"".length();
@@ -43,7 +43,7 @@
         seed);
   }
 
-  /** Kills, pauses, orderly ends and cancellations, back to back. */
+  /** Kills, pauses, terminations, handovers and cancellations, one after another. */
   static String random(long seed, int seconds) {
     Random random = new Random(seed);
     StringBuilder lines = new StringBuilder(setUp(seed));
@@ -69,7 +69,7 @@
     return lines.append("run ").append(seconds).append("\n").toString();
   }
 
-  /** The leader's controller stands still for about as long as its lease lives, again and again. */
+  /** The leader's controller is paused repeatedly, each time for about as long as its lease. */
   static String pauses(long seed, int seconds) {
     Random random = new Random(seed);
     StringBuilder lines = new StringBuilder(setUp(seed));
@@ -83,7 +83,7 @@
     return lines.append("run ").append(seconds).append("\n").toString();
   }
 
-  /** The leader's controller is killed again and again, and is back after 9 s. */
+  /** The leader's controller is killed repeatedly and restarted 9 s later. */
   static String kills(long seed, int count) {
     Random random = new Random(seed);
     double end = 15 + count * KILL_PERIOD_S;
@@ -98,7 +98,7 @@
     return lines.append("run ").append((int) end + 15).append("\n").toString();
   }
 
-  /** Plays a day with real processes; returns what was not as expected. */
+  /** Plays a scenario with real processes and returns its failures. */
   static List<String> play(Scenario scenario, List<String> command, Path logs)
       throws IOException, InterruptedException {
     Files.createDirectories(logs);
@@ -110,7 +110,7 @@
     return scenario.evaluate();
   }
 
-  /** Adds the failovers that followed each kill. */
+  /** Adds the failovers that began within half a period after each kill. */
   static void measure(SimulatedCluster cluster, FailoverPhases leader, FailoverPhases partitions) {
     for (long killedAt : cluster.leaderCrashTimes) {
       for (Map.Entry<String, FailoverProbe.Failover> entry :
--- a/src/test/java/org/baygw/control/sim/ProcessesIT.java
+++ b/src/test/java/org/baygw/control/sim/ProcessesIT.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The built jar on loopback: three controllers as processes that are killed (SIGKILL), paused
- * (SIGSTOP), asked to end (SIGTERM) and told to hand over, while users submit, poll and cancel. The
- * verdict rests on the rules and on every job's end, not on how long anything took.
+ * Runs the built jar on loopback: three controllers as processes that are killed (SIGKILL), paused
+ * (SIGSTOP), terminated (SIGTERM) and told to hand over, while users submit, poll and cancel.
+ * Checks the rules and every job's end, not how long anything took.
  */
 final class ProcessesIT {
   private static final int SECONDS = 95;
@@ -31,7 +31,7 @@
     return scenario;
   }
 
-  /** The ends of the processes' logs, to find out why. */
+  /** The last lines of each process's log, shown when a check fails. */
   private String logs() throws Exception {
     StringBuilder all = new StringBuilder();
     for (String label : List.of("yurt-0", "yurt-1", "yurt-2")) {
