--- a/src/test/java/org/baygw/control/sim/InputsTest.java
+++ b/src/test/java/org/baygw/control/sim/InputsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What bad input gets, at one controller of a simulated deployment. */
+/** Answers of a controller in a simulated deployment to invalid input and operators' requests. */
 final class InputsTest {
   private static final String JOB =
       "{'id':'run-1','lane':'l','crew':'red','shape':'array','rank':'normal','chores':2,"
@@ -80,7 +80,7 @@
           """)
   void refusalNamesTheInvalidField(String from, String to, int expected, String errorPrefix) {
     String job = JOB.replace('\'', '"');
-    // The quotes of the table are read as plain text.
+    // The table has single quotes where JSON has double quotes.
     String quotedFrom = from.replace('\'', '"');
     assertTrue(job.contains(quotedFrom), from);
     ask(8080, "POST", "/v1/jobs", job.replace(quotedFrom, to.replace('\'', '"')));
@@ -159,7 +159,8 @@
     ask(8081, "GET", "/admin/v1/machines", "");
     assertEquals(2, body.path("machines").size());
     for (JsonNode machine : body.path("machines")) {
-      assertTrue(!machine.path("name").asText().equals(name), "it is still there");
+      assertTrue(
+          !machine.path("name").asText().equals(name), "the drained machine is still listed");
       assertEquals(1, machine.path("tasks").size());
     }
     ask(8081, "GET", "/admin/v1/members", "");
--- a/src/test/java/org/baygw/control/sim/StandbyInputsTest.java
+++ b/src/test/java/org/baygw/control/sim/StandbyInputsTest.java
@@ -11,7 +11,7 @@
 import org.baygw.control.core.Json;
 import org.junit.jupiter.api.Test;
 
-/** What operators and siblings get from warm standby's own requests. */
+/** Answers to the warm standby requests of operators and peers. */
 final class StandbyInputsTest {
   private SimulatedCluster cluster;
   private int status;
@@ -115,7 +115,7 @@
     start(3, on());
     ask("yurt-0", "POST", "/peer/replication", "nonsense".getBytes(StandardCharsets.UTF_8));
     assertEquals(400, status);
-    // A message of nobody whom the settings name: a sender's name, and no updates.
+    // A message with a sender that the settings do not name, and without updates.
     ask("yurt-0", "POST", "/peer/replication", new byte[] {2, 'x', 0});
     assertEquals(400, status);
     ask("yurt-0", "GET", "/admin/v1/standby");
