--- a/src/main/java/org/baygw/control/admin/Admin.java
+++ b/src/main/java/org/baygw/control/admin/Admin.java
@@ -62,18 +62,20 @@
   /** Handles a request if it is one of ours. */
   public boolean handle(long request, String method, String path, byte[] body) {
     switch (path) {
-      case "/metrics" -> only("GET", request, method, () -> metrics(request));
+      case "/metrics" -> requireMethod("GET", request, method, () -> metrics(request));
       case ROOT + "/members" ->
-          only("GET", request, method, () -> current(request, () -> members()));
+          requireMethod("GET", request, method, () -> answerWhenCurrent(request, () -> members()));
       case ROOT + "/partitions" ->
-          only("GET", request, method, () -> current(request, () -> partitions()));
+          requireMethod(
+              "GET", request, method, () -> answerWhenCurrent(request, () -> partitions()));
       case ROOT + "/machines" ->
-          only("GET", request, method, () -> current(request, () -> machines()));
+          requireMethod("GET", request, method, () -> answerWhenCurrent(request, () -> machines()));
       case ROOT + "/params" -> {
         if (method.equals("PUT")) {
-          change(request, body);
+          updateParameters(request, body);
         } else {
-          only("GET", request, method, () -> current(request, () -> view.params.toJson()));
+          requireMethod(
+              "GET", request, method, () -> answerWhenCurrent(request, () -> view.params.toJson()));
         }
       }
       default -> {
@@ -82,31 +84,31 @@
           return false;
         }
         String name = path.substring(prefix.length(), path.length() - "/drain".length());
-        only("POST", request, method, () -> drain(request, name));
+        requireMethod("POST", request, method, () -> drain(request, name));
       }
     }
     return true;
   }
 
-  private void only(String wanted, long request, String method, Runnable then) {
-    if (wanted.equals(method)) {
-      then.run();
+  private void requireMethod(String allowedMethod, long request, String method, Runnable action) {
+    if (allowedMethod.equals(method)) {
+      action.run();
     } else {
       error(request, 405, "wrong method");
     }
   }
 
-  private interface Page {
-    ObjectNode make();
+  private interface BodySupplier {
+    ObjectNode get();
   }
 
-  private void current(long request, Page page) {
-    whenCurrent(request, ok -> out.answer(request, 200, Json.bytes(page.make())));
+  private void answerWhenCurrent(long request, BodySupplier bodySupplier) {
+    whenCurrent(request, ok -> out.answer(request, 200, Json.bytes(bodySupplier.get())));
   }
 
   private void whenCurrent(long request, Consumer<Boolean> then) {
     if (!store.loaded()) {
-      later(request);
+      unavailable(request);
       return;
     }
     store.current(
@@ -114,14 +116,14 @@
           if (ok) {
             then.accept(true);
           } else {
-            later(request);
+            unavailable(request);
           }
         });
   }
 
-  private void change(long request, byte[] body) {
-    JsonNode n = Json.parseStrict(body);
-    if (!n.isObject()) {
+  private void updateParameters(long request, byte[] body) {
+    JsonNode changes = Json.parseStrict(body);
+    if (!changes.isObject()) {
       error(request, 400, "body: not a JSON object");
       return;
     }
@@ -130,14 +132,14 @@
         ok -> {
           SchedulingParameters next;
           try {
-            next = view.params.with(n);
+            next = view.params.with(changes);
           } catch (IllegalArgumentException e) {
             error(request, 400, e.getMessage());
             return;
           }
-          Txn t =
+          Txn txn =
               new Txn().when(Keys.PARAMS, view.stamp(Keys.PARAMS)).put(Keys.PARAMS, next.toJson());
-          write(request, t, () -> next.toJson());
+          write(request, txn, () -> next.toJson());
         });
   }
 
@@ -145,65 +147,74 @@
     whenCurrent(
         request,
         ok -> {
-          StateCache.Entry<Machine> m = view.machines.get(name);
-          if (m == null) {
+          StateCache.Entry<Machine> machine = view.machines.get(name);
+          if (machine == null) {
             error(request, 404, "no such machine");
             return;
           }
-          Txn t = new Txn().put(Keys.cordon(name), Json.object().put("since_ms", clock.wall()));
-          write(request, t, () -> Json.object().put("machine", name).put("status", "draining"));
+          Txn txn = new Txn().put(Keys.cordon(name), Json.object().put("since_ms", clock.wall()));
+          write(request, txn, () -> Json.object().put("machine", name).put("status", "draining"));
         });
   }
 
-  private void write(long request, Txn t, Page page) {
+  private void write(long request, Txn txn, BodySupplier bodySupplier) {
     store.txn(
         Store.Urgency.SUBMIT,
-        t,
+        txn,
         Constants.SUBMIT_WAIT_MS,
         outcome -> {
           switch (outcome) {
-            case OK -> out.answer(request, 200, Json.bytes(page.make()));
+            case OK -> out.answer(request, 200, Json.bytes(bodySupplier.get()));
             case CONFLICT -> error(request, 409, "changed by someone else meanwhile");
-            default -> later(request);
+            default -> unavailable(request);
           }
         });
   }
 
   private ObjectNode members() {
-    ObjectNode n = Json.object();
-    ArrayNode a = n.putArray("members");
+    ObjectNode body = Json.object();
+    ArrayNode array = body.putArray("members");
     view.members.forEach(
-        (label, e) -> {
-          ObjectNode o = a.addObject().put("label", label).put("zone", e.value().zone());
-          o.put("self", label.equals(settings.label()));
+        (label, entry) -> {
+          ObjectNode item = array.addObject().put("label", label).put("zone", entry.value().zone());
+          item.put("self", label.equals(settings.label()));
         });
-    StateCache.Entry<StateCache.Claim> d = view.claims.get(Keys.LEADER);
-    return n.put("leader", d == null ? null : d.value().owner()).put("revision", view.revision());
+    StateCache.Entry<StateCache.Claim> leader = view.claims.get(Keys.LEADER);
+    return body.put("leader", leader == null ? null : leader.value().owner())
+        .put("revision", view.revision());
   }
 
   private ObjectNode partitions() {
-    ObjectNode n = Json.object();
-    ArrayNode a = n.putArray("partitions");
-    for (Partition p : membership.partitions()) {
-      ObjectNode o = a.addObject().put("part", p.toString()).put("owner", membership.owner(p));
-      o.put("granted_tasks", view.granted(p));
+    ObjectNode body = Json.object();
+    ArrayNode array = body.putArray("partitions");
+    for (Partition partition : membership.partitions()) {
+      ObjectNode item =
+          array
+              .addObject()
+              .put("part", partition.toString())
+              .put("owner", membership.owner(partition));
+      item.put("granted_tasks", view.granted(partition));
     }
-    return n;
+    return body;
   }
 
   private ObjectNode machines() {
-    ObjectNode n = Json.object();
-    ArrayNode a = n.putArray("machines");
-    for (StateCache.Entry<Machine> e : new TreeMap<>(view.machines).values()) {
-      Machine m = e.value();
-      ObjectNode o = a.addObject().put("name", m.name()).put("type", m.type());
-      o.put("zone", m.zone()).put("spot", m.spot()).put("part", m.part().toString());
-      o.put("condition", m.condition().name().toLowerCase(java.util.Locale.ROOT));
-      o.put("draining", view.cordons.contains(m.name()) || view.drains.containsKey(m.name()));
-      ArrayNode t = o.putArray("tasks");
-      m.tasks().keySet().forEach(id -> t.add(id.toString()));
+    ObjectNode body = Json.object();
+    ArrayNode array = body.putArray("machines");
+    for (StateCache.Entry<Machine> entry : new TreeMap<>(view.machines).values()) {
+      Machine machine = entry.value();
+      ObjectNode item = array.addObject().put("name", machine.name()).put("type", machine.type());
+      item.put("zone", machine.zone())
+          .put("spot", machine.spot())
+          .put("part", machine.part().toString());
+      item.put("condition", machine.condition().name().toLowerCase(java.util.Locale.ROOT));
+      item.put(
+          "draining",
+          view.cordons.contains(machine.name()) || view.drains.containsKey(machine.name()));
+      ArrayNode tasks = item.putArray("tasks");
+      machine.tasks().keySet().forEach(id -> tasks.add(id.toString()));
     }
-    return n;
+    return body;
   }
 
   private void metrics(long request) {
@@ -224,14 +235,14 @@
         standby.register(metrics);
       }
     }
-    out.answer(request, 200, metrics.page().getBytes(StandardCharsets.UTF_8));
+    out.answer(request, 200, metrics.scrape().getBytes(StandardCharsets.UTF_8));
   }
 
-  private void error(long request, int status, String why) {
-    out.answer(request, status, Json.bytes(Json.object().put("error", why)));
+  private void error(long request, int status, String reason) {
+    out.answer(request, status, Json.bytes(Json.object().put("error", reason)));
   }
 
-  private void later(long request) {
+  private void unavailable(long request) {
     out.answer(
         request,
         503,
--- a/src/main/java/org/baygw/control/admin/Metrics.java
+++ b/src/main/java/org/baygw/control/admin/Metrics.java
@@ -34,26 +34,26 @@
     counter(name, help, value, DoubleSupplier::getAsDouble);
   }
 
-  <T> void counter(String name, String help, T of, ToDoubleFunction<T> value) {
-    FunctionCounter.builder(name, of, value).description(help).register(registry);
+  <T> void counter(String name, String help, T source, ToDoubleFunction<T> value) {
+    FunctionCounter.builder(name, source, value).description(help).register(registry);
   }
 
-  <T> void gauge(String name, String help, T of, ToDoubleFunction<T> value) {
-    Gauge.builder(name, of, value).description(help).register(registry);
+  <T> void gauge(String name, String help, T source, ToDoubleFunction<T> value) {
+    Gauge.builder(name, source, value).description(help).register(registry);
   }
 
   /** Percentiles of a histogram in milliseconds. */
-  void histogram(String name, String help, Histogram h) {
+  void histogram(String name, String help, Histogram histogram) {
     for (double p : PERCENTILES) {
-      Gauge.builder(name, h, x -> x.getValueAtPercentile(p))
+      Gauge.builder(name, histogram, x -> x.getValueAtPercentile(p))
           .description(help)
           .tag("percentile", String.valueOf(p))
           .register(registry);
     }
-    counter(name + ".count", help, h, Histogram::getTotalCount);
+    counter(name + ".count", help, histogram, Histogram::getTotalCount);
   }
 
-  String page() {
+  String scrape() {
     return registry.scrape();
   }
 }
--- a/src/main/java/org/baygw/control/config/FeaturesReader.java
+++ b/src/main/java/org/baygw/control/config/FeaturesReader.java
@@ -17,10 +17,10 @@
   private static final String ENABLED = "enabled";
   private static final Set<String> STANDBY_FIELDS =
       Set.of(ENABLED, "batch_ms", "heartbeat_ms", "suspect_ms", "kept_decisions");
-  private static final long LONGEST_MS = 60_000;
-  private static final long SHORTEST_MS = 50;
-  private static final long MOST_DECISIONS = 1_000_000;
-  private static final long FEWEST_DECISIONS = 16;
+  private static final long MAX_PERIOD_MS = 60_000;
+  private static final long MIN_PERIOD_MS = 50;
+  private static final long MAX_KEPT_DECISIONS = 1_000_000;
+  private static final long MIN_KEPT_DECISIONS = 16;
 
   public static Features read(Path file) throws BadSettings {
     return parse(SettingsReader.readFile(file));
@@ -28,7 +28,7 @@
 
   public static Features parse(String text) throws BadSettings {
     JsonNode root = SettingsReader.readToml(text);
-    onlyKnown(root, Set.of(STANDBY), "");
+    rejectUnknownFields(root, Set.of(STANDBY), "");
     return new Features(root.has(STANDBY) ? standby(root.path(STANDBY)) : null);
   }
 
@@ -36,46 +36,48 @@
     if (!node.isObject()) {
       throw new BadSettings(STANDBY + ": not a table");
     }
-    onlyKnown(node, STANDBY_FIELDS, STANDBY + ".");
+    rejectUnknownFields(node, STANDBY_FIELDS, STANDBY + ".");
     if (!node.path(ENABLED).isBoolean()) {
       throw new BadSettings(STANDBY + "." + ENABLED + ": missing or neither true nor false");
     }
     Features.Standby defaults = Features.Standby.DEFAULTS;
-    long batchMs = whole(node, "batch_ms", defaults.batchMs(), SHORTEST_MS, LONGEST_MS);
-    long heartbeatMs = whole(node, "heartbeat_ms", defaults.heartbeatMs(), batchMs, LONGEST_MS);
+    long batchMs = integer(node, "batch_ms", defaults.batchMs(), MIN_PERIOD_MS, MAX_PERIOD_MS);
+    long heartbeatMs =
+        integer(node, "heartbeat_ms", defaults.heartbeatMs(), batchMs, MAX_PERIOD_MS);
     Features.Standby standby =
         new Features.Standby(
             batchMs,
             heartbeatMs,
-            whole(node, "suspect_ms", defaults.suspectMs(), heartbeatMs, LONGEST_MS),
+            integer(node, "suspect_ms", defaults.suspectMs(), heartbeatMs, MAX_PERIOD_MS),
             (int)
-                whole(
+                integer(
                     node,
                     "kept_decisions",
                     defaults.keptDecisions(),
-                    FEWEST_DECISIONS,
-                    MOST_DECISIONS));
+                    MIN_KEPT_DECISIONS,
+                    MAX_KEPT_DECISIONS));
     return node.path(ENABLED).booleanValue() ? standby : null;
   }
 
-  private static long whole(JsonNode node, String field, long otherwise, long least, long most)
+  private static long integer(JsonNode node, String field, long defaultValue, long min, long max)
       throws BadSettings {
     JsonNode value = node.path(field);
     if (value.isMissingNode()) {
-      return Math.max(least, otherwise);
+      return Math.max(min, defaultValue);
     }
-    if (!value.isIntegralNumber() || value.asLong() < least || value.asLong() > most) {
+    if (!value.isIntegralNumber() || value.asLong() < min || value.asLong() > max) {
       throw new BadSettings(
-          STANDBY + "." + field + ": must be a whole number from " + least + " to " + most);
+          STANDBY + "." + field + ": must be a whole number from " + min + " to " + max);
     }
     return value.asLong();
   }
 
-  private static void onlyKnown(JsonNode node, Set<String> known, String under) throws BadSettings {
+  private static void rejectUnknownFields(JsonNode node, Set<String> known, String prefix)
+      throws BadSettings {
     for (Iterator<Map.Entry<String, JsonNode>> it = node.fields(); it.hasNext(); ) {
       String name = it.next().getKey();
       if (!known.contains(name)) {
-        throw new BadSettings(under + name + ": no such field");
+        throw new BadSettings(prefix + name + ": no such field");
       }
     }
   }
--- a/src/main/java/org/baygw/control/config/Settings.java
+++ b/src/main/java/org/baygw/control/config/Settings.java
@@ -38,13 +38,13 @@
      * would be a team whose every job can never run.
      */
     public static Team of(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-      boolean none = cpusMax == 0 && gpusMax == 0;
+      boolean unlimited = cpusMax == 0 && gpusMax == 0;
       return new Team(
           name,
           cpus,
-          none ? Double.POSITIVE_INFINITY : cpusMax,
+          unlimited ? Double.POSITIVE_INFINITY : cpusMax,
           gpus,
-          none ? Double.POSITIVE_INFINITY : gpusMax);
+          unlimited ? Double.POSITIVE_INFINITY : gpusMax);
     }
 
     /** Whether anything is guaranteed to the team; a guest has no guarantee. */
@@ -73,10 +73,10 @@
     }
 
     /** ms after which such knowledge is to be drawn anew, at most the given. */
-    public long watermarkPeriodMs(long mostMs) {
+    public long watermarkPeriodMs(long maxMs) {
       return Math.max(
           Constants.WATERMARK_PERIOD_MIN_MS,
-          Math.min(mostMs, watermarkMs() / Constants.WATERMARK_TRIES));
+          Math.min(maxMs, watermarkMs() / Constants.WATERMARK_TRIES));
     }
   }
 
@@ -98,8 +98,8 @@
      *
      * @param costMs what one turn takes on a whole core
      */
-    public long periodMs(double costMs, double share, long leastMs, long mostMs) {
-      return Math.max(leastMs, Math.min(mostMs, Math.round(costMs / (share * cpuShare))));
+    public long periodMs(double costMs, double share, long minMs, long maxMs) {
+      return Math.max(minMs, Math.min(maxMs, Math.round(costMs / (share * cpuShare))));
     }
   }
 
--- a/src/main/java/org/baygw/control/config/SettingsReader.java
+++ b/src/main/java/org/baygw/control/config/SettingsReader.java
@@ -38,7 +38,7 @@
 
   public static Settings parse(String text) throws BadSettings {
     JsonNode root = readToml(text);
-    JsonNode p = root.path("settings");
+    JsonNode settings = root.path("settings");
     List<Settings.Peer> peers = new ArrayList<>();
     Set<String> labels = new HashSet<>();
     labels.add(text(root, "label", ""));
@@ -52,17 +52,17 @@
       peers.add(new Settings.Peer(label, text(n, "domain", "siblings."), addr));
     }
     List<String> zones = new ArrayList<>();
-    for (JsonNode n : p.path("zones")) {
+    for (JsonNode n : settings.path("zones")) {
       zones.add(n.asText());
     }
     if (zones.isEmpty()) {
       throw new BadSettings("settings.zones: missing or empty");
     }
     List<Settings.Team> teams = new ArrayList<>();
-    Set<String> names = new HashSet<>();
-    for (JsonNode n : p.path("teams")) {
+    Set<String> teamNames = new HashSet<>();
+    for (JsonNode n : settings.path("teams")) {
       String name = text(n, "name", "settings.teams.");
-      if (!names.add(name)) {
+      if (!teamNames.add(name)) {
         throw new BadSettings("settings.teams.name: '" + name + "' stands twice");
       }
       teams.add(
@@ -77,7 +77,7 @@
       throw new BadSettings("settings.teams: missing or empty");
     }
     List<Settings.Objective> objectives = new ArrayList<>();
-    for (JsonNode n : p.path("objectives")) {
+    for (JsonNode n : settings.path("objectives")) {
       String kind = n.path("kind").asText();
       if (kind.equals("finished") || kind.equals("deadline")) {
         objectives.add(
@@ -87,40 +87,43 @@
                 kind.equals("deadline") ? n.path("times").asDouble(1) : 0));
       }
     }
-    JsonNode w = p.path("workers");
-    JsonNode s = p.path("state");
-    JsonNode c = p.path("cloud");
-    JsonNode r = p.path("resources");
-    String cloud = text(root.path("external"), "cloud", "external.");
-    String state = text(root.path("external"), "state", "external.");
-    endpoint(cloud, "external.cloud");
-    endpoint(state, "external.state");
+    JsonNode workers = settings.path("workers");
+    JsonNode stateLimits = settings.path("state");
+    JsonNode cloudLimits = settings.path("cloud");
+    JsonNode resources = settings.path("resources");
+    String cloudAddr = text(root.path("external"), "cloud", "external.");
+    String stateAddr = text(root.path("external"), "state", "external.");
+    endpoint(cloudAddr, "external.cloud");
+    endpoint(stateAddr, "external.state");
     return new Settings(
         text(root, "label", ""),
         text(root, "domain", ""),
         endpoint(text(root, "serve_on", ""), "serve_on"),
         endpoint(text(root, "peer_listen", ""), "peer_listen"),
         List.copyOf(peers),
-        cloud,
-        state,
+        cloudAddr,
+        stateAddr,
         List.copyOf(zones),
-        number(p, "time_bound_ms", "settings.", 0),
+        number(settings, "time_bound_ms", "settings.", 0),
         List.copyOf(teams),
         List.copyOf(objectives),
         new Settings.WorkerTimes(
-            positive(w, "report_s", "settings.workers."),
-            positive(w, "lease_s", "settings.workers."),
-            positive(w, "cancel_s", "settings.workers.")),
+            positive(workers, "report_s", "settings.workers."),
+            positive(workers, "lease_s", "settings.workers."),
+            positive(workers, "cancel_s", "settings.workers.")),
         new Settings.StateLimits(
-            positive(s, "rps", "settings.state."),
-            positive(s, "write_rps", "settings.state."),
-            positive(s, "value_kb", "settings.state."),
-            (int) number(s, "txn_ops", "settings.state.", 4)),
+            positive(stateLimits, "rps", "settings.state."),
+            positive(stateLimits, "write_rps", "settings.state."),
+            positive(stateLimits, "value_kb", "settings.state."),
+            (int) number(stateLimits, "txn_ops", "settings.state.", 4)),
         new Settings.CloudLimits(
-            positive(c, "rps", "settings.cloud."), positive(c, "list_lag_s", "settings.cloud.")),
+            positive(cloudLimits, "rps", "settings.cloud."),
+            positive(cloudLimits, "list_lag_s", "settings.cloud.")),
         new Settings.Resources(
-            r.has("cpu_share") ? positive(r, "cpu_share", "settings.resources.") : 1,
-            (int) number(r, "max_connections", "settings.resources.", 16)));
+            resources.has("cpu_share")
+                ? positive(resources, "cpu_share", "settings.resources.")
+                : 1,
+            (int) number(resources, "max_connections", "settings.resources.", 16)));
   }
 
   static JsonNode readToml(String text) throws BadSettings {
@@ -133,29 +136,29 @@
     }
   }
 
-  private static String text(JsonNode n, String field, String under) throws BadSettings {
-    JsonNode v = n.path(field);
-    if (!v.isTextual() || v.asText().isBlank()) {
-      throw new BadSettings(under + field + ": missing or not a text");
+  private static String text(JsonNode n, String field, String prefix) throws BadSettings {
+    JsonNode value = n.path(field);
+    if (!value.isTextual() || value.asText().isBlank()) {
+      throw new BadSettings(prefix + field + ": missing or not a text");
     }
-    return v.asText();
+    return value.asText();
   }
 
-  private static double number(JsonNode n, String field, String under, double least)
+  private static double number(JsonNode n, String field, String prefix, double min)
       throws BadSettings {
-    JsonNode v = n.path(field);
-    if (!v.isNumber() || !Double.isFinite(v.asDouble()) || v.asDouble() < least) {
-      throw new BadSettings(under + field + ": missing or not a number of at least " + least);
+    JsonNode value = n.path(field);
+    if (!value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < min) {
+      throw new BadSettings(prefix + field + ": missing or not a number of at least " + min);
     }
-    return v.asDouble();
+    return value.asDouble();
   }
 
-  private static double positive(JsonNode n, String field, String under) throws BadSettings {
-    double v = number(n, field, under, 0);
-    if (v <= 0) {
-      throw new BadSettings(under + field + ": must be above zero");
+  private static double positive(JsonNode n, String field, String prefix) throws BadSettings {
+    double value = number(n, field, prefix, 0);
+    if (value <= 0) {
+      throw new BadSettings(prefix + field + ": must be above zero");
     }
-    return v;
+    return value;
   }
 
   private static Settings.Endpoint endpoint(String addr, String field) throws BadSettings {
--- a/src/main/java/org/baygw/control/jobs/Jobs.java
+++ b/src/main/java/org/baygw/control/jobs/Jobs.java
@@ -37,7 +37,7 @@
   private final Store store;
   private final StateCache view;
   private final Peers peers;
-  private int waiting;
+  private int pendingSubmissions;
 
   public Jobs(
       Clock clock, Outbox out, Settings settings, Store store, StateCache view, Peers peers) {
@@ -59,11 +59,11 @@
   public boolean handle(long request, String method, String path, byte[] body) {
     if (path.equals("/up")) {
       if (!method.equals("GET")) {
-        wrongMethod(request);
+        methodNotAllowed(request);
       } else if (ready()) {
         out.answer(request, 200, Json.bytes(Json.object().put("status", "up")));
       } else {
-        later(request, 503, "not read in yet");
+        retryLater(request, 503, "not read in yet");
       }
       return true;
     }
@@ -71,7 +71,7 @@
       if (method.equals("POST")) {
         submit(request, body);
       } else {
-        wrongMethod(request);
+        methodNotAllowed(request);
       }
       return true;
     }
@@ -85,9 +85,9 @@
       return false;
     }
     if (!method.equals(abort ? "POST" : "GET")) {
-      wrongMethod(request);
+      methodNotAllowed(request);
     } else if (!SubmissionCodec.validId(id)) {
-      unknown(request);
+      notFound(request);
     } else if (abort) {
       abort(request, id, 3);
     } else {
@@ -97,18 +97,18 @@
   }
 
   private void submit(long request, byte[] body) {
-    JsonNode n = Json.parseStrict(body);
-    if (!n.isObject()) {
+    JsonNode submission = Json.parseStrict(body);
+    if (!submission.isObject()) {
       error(request, 400, "body: not a JSON object");
       return;
     }
-    String id = n.path("id").asText("");
-    if (!n.path("id").isTextual() || !SubmissionCodec.validId(id)) {
+    String id = submission.path("id").asText("");
+    if (!submission.path("id").isTextual() || !SubmissionCodec.validId(id)) {
       error(request, 400, "id: missing or invalid");
       return;
     }
     if (!store.loaded()) {
-      later(request, 503, "not read in yet");
+      retryLater(request, 503, "not read in yet");
       return;
     }
     if (view.jobs.containsKey(id)) {
@@ -117,8 +117,8 @@
     }
     JobSpec spec;
     try {
-      spec = SubmissionCodec.decode(n);
-    } catch (SubmissionCodec.Malformed e) {
+      spec = SubmissionCodec.decode(submission);
+    } catch (SubmissionCodec.InvalidField e) {
       refuse(request, id, 400, e.getMessage() + ": missing or invalid");
       return;
     }
@@ -127,65 +127,65 @@
       return;
     }
     if (view.types.isEmpty()) {
-      later(request, 503, "the machine types are not known yet");
+      retryLater(request, 503, "the machine types are not known yet");
       return;
     }
-    String never = neverRuns(spec);
-    if (never != null) {
-      refuse(request, id, 422, never);
+    String unschedulable = unschedulableReason(spec);
+    if (unschedulable != null) {
+      refuse(request, id, 422, unschedulable);
       return;
     }
-    if (waiting >= Constants.MAX_WAITING) {
-      later(request, 429, "too many submissions at once");
+    if (pendingSubmissions >= Constants.MAX_WAITING) {
+      retryLater(request, 429, "too many submissions at once");
       return;
     }
     Job job = Job.accepted(spec, clock.wall());
-    waiting++;
+    pendingSubmissions++;
     store.txn(
         Store.Urgency.SUBMIT,
         new Txn().when(Keys.job(id), 0).put(Keys.job(id), Records.job(job)),
         Constants.SUBMIT_WAIT_MS,
         outcome -> {
-          waiting--;
+          pendingSubmissions--;
           switch (outcome) {
-            case OK -> out.answer(request, 201, state(id, "pending", null));
+            case OK -> out.answer(request, 201, statusBody(id, "pending", null));
             case CONFLICT -> poll(request, id);
-            case REFUSED -> later(request, 429, "the state service takes no more now");
-            case UNKNOWN -> later(request, 503, "the state service does not answer");
+            case REFUSED -> retryLater(request, 429, "the state service takes no more now");
+            case UNKNOWN -> retryLater(request, 503, "the state service does not answer");
           }
         });
   }
 
   /** A known id is never refused, so a refusal waits for a current copy. */
-  private void refuse(long request, String id, int status, String why) {
+  private void refuse(long request, String id, int status, String reason) {
     store.current(
         ok -> {
           if (!ok) {
-            later(request, 503, "the state service does not answer");
+            retryLater(request, 503, "the state service does not answer");
           } else if (view.jobs.containsKey(id)) {
             answer(request, id);
           } else {
-            LOG.info("refused {} with {}: {}", id, status, why);
-            error(request, status, why);
+            LOG.info("refused {} with {}: {}", id, status, reason);
+            error(request, status, reason);
           }
         });
   }
 
-  private String neverRuns(JobSpec s) {
-    Settings.Team team = settings.team(s.team());
+  private String unschedulableReason(JobSpec spec) {
+    Settings.Team team = settings.team(spec.team());
     boolean fits = false;
-    for (MachineType t : view.types) {
+    for (MachineType type : view.types) {
       fits |=
-          t.holds(s)
-              && s.typeAllowed(t.name())
-              && (s.zone() == null || t.zones().contains(s.zone()));
+          type.holds(spec)
+              && spec.typeAllowed(type.name())
+              && (spec.zone() == null || type.zones().contains(spec.zone()));
     }
     if (!fits) {
       return "no allowed machine type holds a task";
     }
-    int together = s.service() ? s.tasks() : 1;
-    if (s.cpus() * together > team.cpusMax() + Constants.EPS
-        || s.gpus() * together > team.gpusMax() + Constants.EPS) {
+    int concurrentTasks = spec.service() ? spec.tasks() : 1;
+    if (spec.cpus() * concurrentTasks > team.cpusMax() + Constants.EPS
+        || spec.gpus() * concurrentTasks > team.gpusMax() + Constants.EPS) {
       return "more than the team's limit";
     }
     return null;
@@ -198,7 +198,7 @@
       return;
     }
     if (!store.loaded()) {
-      later(request, 503, "not read in yet");
+      retryLater(request, 503, "not read in yet");
       return;
     }
     store.current(
@@ -206,30 +206,30 @@
           if (ok) {
             answer(request, id);
           } else {
-            later(request, 503, "the state service does not answer");
+            retryLater(request, 503, "the state service does not answer");
           }
         });
   }
 
-  private void abort(long request, String id, int tries) {
+  private void abort(long request, String id, int attemptsLeft) {
     StateCache.Entry<Job> known = view.jobs.get(id);
     if (known != null && !known.value().open()) {
       answer(request, id);
       return;
     }
-    if (!store.loaded() || tries == 0) {
-      later(request, 503, "not now");
+    if (!store.loaded() || attemptsLeft == 0) {
+      retryLater(request, 503, "not now");
       return;
     }
     if (known == null) {
       store.current(
           ok -> {
             if (!ok) {
-              later(request, 503, "the state service does not answer");
+              retryLater(request, 503, "the state service does not answer");
             } else if (view.jobs.containsKey(id)) {
-              abort(request, id, tries - 1);
+              abort(request, id, attemptsLeft - 1);
             } else {
-              unknown(request);
+              notFound(request);
             }
           });
       return;
@@ -246,23 +246,23 @@
               peers.cancelled();
               answer(request, id);
             }
-            case CONFLICT -> store.current(ok -> abort(request, id, ok ? tries - 1 : 0));
-            default -> later(request, 503, "the state service does not answer");
+            case CONFLICT -> store.current(ok -> abort(request, id, ok ? attemptsLeft - 1 : 0));
+            default -> retryLater(request, 503, "the state service does not answer");
           }
         });
   }
 
   private void answer(long request, String id) {
-    StateCache.Entry<Job> e = view.jobs.get(id);
-    if (e == null) {
-      unknown(request);
+    StateCache.Entry<Job> entry = view.jobs.get(id);
+    if (entry == null) {
+      notFound(request);
       return;
     }
-    Job job = e.value();
+    Job job = entry.value();
     int tasks = job.spec().tasks();
-    ObjectNode n = Json.object();
+    ObjectNode counts = Json.object();
     if (job.state() == Job.State.DONE) {
-      out.answer(request, 200, state(id, "done", n.put("done", tasks).put("running", 0)));
+      out.answer(request, 200, statusBody(id, "done", counts.put("done", tasks).put("running", 0)));
       return;
     }
     int done = 0;
@@ -280,31 +280,32 @@
     }
     String status =
         job.state() == Job.State.CANCELLED ? "cancelled" : running > 0 ? "running" : "pending";
-    out.answer(request, 200, state(id, status, n.put("done", done).put("running", running)));
+    out.answer(
+        request, 200, statusBody(id, status, counts.put("done", done).put("running", running)));
   }
 
-  private static byte[] state(String id, String status, ObjectNode more) {
-    ObjectNode n = Json.object().put("id", id).put("status", status);
-    if (more != null) {
-      n.setAll(more);
+  private static byte[] statusBody(String id, String status, ObjectNode extraFields) {
+    ObjectNode body = Json.object().put("id", id).put("status", status);
+    if (extraFields != null) {
+      body.setAll(extraFields);
     }
-    return Json.bytes(n);
+    return Json.bytes(body);
   }
 
-  private void unknown(long request) {
+  private void notFound(long request) {
     error(request, 404, "no such job");
   }
 
-  private void wrongMethod(long request) {
+  private void methodNotAllowed(long request) {
     error(request, 405, "wrong method");
   }
 
-  private void error(long request, int status, String why) {
-    out.answer(request, status, Json.bytes(Json.object().put("error", why)));
+  private void error(long request, int status, String reason) {
+    out.answer(request, status, Json.bytes(Json.object().put("error", reason)));
   }
 
-  private void later(long request, int status, String why) {
+  private void retryLater(long request, int status, String reason) {
     out.answer(
-        request, status, Json.bytes(Json.object().put("error", why)), Constants.RETRY_AFTER_S);
+        request, status, Json.bytes(Json.object().put("error", reason)), Constants.RETRY_AFTER_S);
   }
 }
--- a/src/main/java/org/baygw/control/jobs/SubmissionCodec.java
+++ b/src/main/java/org/baygw/control/jobs/SubmissionCodec.java
@@ -8,76 +8,77 @@
 /** Users' submissions on the wire. Here, and only here, stand the wire's names for them. */
 final class SubmissionCodec {
   /** A field that is missing or invalid. */
-  static final class Malformed extends Exception {
+  static final class InvalidField extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Malformed(String message) {
+    InvalidField(String message) {
       super(message);
     }
   }
 
   private static final int MAX_TASKS = 100_000;
-  private static final int MAX_TEXT = 200;
+  private static final int MAX_TEXT_LENGTH = 200;
 
-  static JobSpec decode(JsonNode n) throws Malformed {
-    String id = text(n, "id");
+  static JobSpec decode(JsonNode submission) throws InvalidField {
+    String id = text(submission, "id");
     if (!validId(id)) {
-      throw new Malformed("id");
+      throw new InvalidField("id");
     }
-    String shape = text(n, "shape");
+    String shape = text(submission, "shape");
     if (!shape.equals("array") && !shape.equals("standing")) {
-      throw new Malformed("shape");
+      throw new InvalidField("shape");
     }
     JobSpec.Priority priority =
-        switch (text(n, "rank")) {
+        switch (text(submission, "rank")) {
           case "prod" -> JobSpec.Priority.PRODUCTION;
           case "urgent" -> JobSpec.Priority.HIGH;
           case "normal" -> JobSpec.Priority.NORMAL;
           case "best_effort" -> JobSpec.Priority.LOW;
-          default -> throw new Malformed("rank");
+          default -> throw new InvalidField("rank");
         };
-    JsonNode tasks = n.path("chores");
+    JsonNode tasks = submission.path("chores");
     if (!tasks.isIntegralNumber()
         || !tasks.canConvertToInt()
         || tasks.asInt() < 1
         || tasks.asInt() > MAX_TASKS) {
-      throw new Malformed("chores");
+      throw new InvalidField("chores");
     }
-    List<String> types = new ArrayList<>();
-    JsonNode builds = n.path("builds");
-    if (present(builds)) {
-      if (!builds.isArray() || builds.isEmpty()) {
-        throw new Malformed("builds");
+    List<String> typeNames = new ArrayList<>();
+    JsonNode machineTypes = submission.path("builds");
+    if (present(machineTypes)) {
+      if (!machineTypes.isArray() || machineTypes.isEmpty()) {
+        throw new InvalidField("builds");
       }
-      for (JsonNode b : builds) {
-        if (!b.isTextual() || b.asText().isEmpty()) {
-          throw new Malformed("builds");
+      for (JsonNode type : machineTypes) {
+        if (!type.isTextual() || type.asText().isEmpty()) {
+          throw new InvalidField("builds");
         }
-        types.add(b.asText());
+        typeNames.add(type.asText());
       }
     }
-    String zone = present(n.path("yard")) ? text(n, "yard") : null;
-    Double deadline = present(n.path("dueS")) ? amount(n, "dueS") : null;
+    String zone = present(submission.path("yard")) ? text(submission, "yard") : null;
+    Double deadline =
+        present(submission.path("dueS")) ? nonNegativeNumber(submission, "dueS") : null;
     return new JobSpec(
         id,
-        text(n, "lane"),
-        text(n, "crew"),
+        text(submission, "lane"),
+        text(submission, "crew"),
         shape.equals("standing"),
         priority,
         tasks.asInt(),
-        amount(n, "cores"),
-        amount(n, "accelerators"),
-        amount(n, "memoryGb"),
-        text(n, "bundle"),
-        amount(n, "sizeGb"),
-        List.copyOf(types),
+        nonNegativeNumber(submission, "cores"),
+        nonNegativeNumber(submission, "accelerators"),
+        nonNegativeNumber(submission, "memoryGb"),
+        text(submission, "bundle"),
+        nonNegativeNumber(submission, "sizeGb"),
+        List.copyOf(typeNames),
         zone,
-        flag(n, "together"),
-        flag(n, "spread"),
-        flag(n, "loaners"),
-        amount(n, "guessS"),
-        amount(n, "stashEveryS"),
-        amount(n, "stashS"),
+        flag(submission, "together"),
+        flag(submission, "spread"),
+        flag(submission, "loaners"),
+        nonNegativeNumber(submission, "guessS"),
+        nonNegativeNumber(submission, "stashEveryS"),
+        nonNegativeNumber(submission, "stashS"),
         deadline);
   }
 
@@ -105,28 +106,30 @@
     return !n.isMissingNode() && !n.isNull();
   }
 
-  private static String text(JsonNode n, String field) throws Malformed {
-    JsonNode v = n.path(field);
-    if (!v.isTextual() || v.asText().isEmpty() || v.asText().length() > MAX_TEXT) {
-      throw new Malformed(field);
+  private static String text(JsonNode submission, String field) throws InvalidField {
+    JsonNode value = submission.path(field);
+    if (!value.isTextual()
+        || value.asText().isEmpty()
+        || value.asText().length() > MAX_TEXT_LENGTH) {
+      throw new InvalidField(field);
     }
-    return v.asText();
+    return value.asText();
   }
 
-  private static double amount(JsonNode n, String field) throws Malformed {
-    JsonNode v = n.path(field);
-    if (!v.isNumber() || !Double.isFinite(v.asDouble()) || v.asDouble() < 0) {
-      throw new Malformed(field);
+  private static double nonNegativeNumber(JsonNode submission, String field) throws InvalidField {
+    JsonNode value = submission.path(field);
+    if (!value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < 0) {
+      throw new InvalidField(field);
     }
-    return v.asDouble();
+    return value.asDouble();
   }
 
-  private static boolean flag(JsonNode n, String field) throws Malformed {
-    JsonNode v = n.path(field);
-    if (!v.isBoolean()) {
-      throw new Malformed(field);
+  private static boolean flag(JsonNode submission, String field) throws InvalidField {
+    JsonNode value = submission.path(field);
+    if (!value.isBoolean()) {
+      throw new InvalidField(field);
     }
-    return v.asBoolean();
+    return value.asBoolean();
   }
 
   private SubmissionCodec() {}
--- a/src/main/java/org/baygw/control/net/EventLoop.java
+++ b/src/main/java/org/baygw/control/net/EventLoop.java
@@ -53,9 +53,9 @@
   private final EventLoopGroup loop;
   private final HttpClient client;
   private final Map<Long, Pending> pending = new HashMap<>();
-  private long requests;
-  private boolean stepDue;
-  private long lastStep;
+  private long lastRequestId;
+  private boolean tickScheduled;
+  private long lastTickMs;
 
   public EventLoop(Settings settings, Features features) {
     this.settings = settings;
@@ -68,37 +68,37 @@
   public void start() throws InterruptedException {
     bind(settings.listen(), core::request);
     bind(settings.peerListen(), core::peerRequest);
-    loop.next().execute(this::tick);
+    loop.next().execute(this::onTimer);
   }
 
   /**
    * Has the core take a step if none was taken for a while, and comes again when the next is due.
    */
-  private void tick() {
-    if (now() - lastStep >= settings.tickMs()) {
-      step();
+  private void onTimer() {
+    if (now() - lastTickMs >= settings.tickMs()) {
+      runTick();
     }
-    long left = Math.max(1, lastStep + settings.tickMs() - now());
-    loop.next().schedule(this::tick, left, TimeUnit.MILLISECONDS);
+    long left = Math.max(1, lastTickMs + settings.tickMs() - now());
+    loop.next().schedule(this::onTimer, left, TimeUnit.MILLISECONDS);
   }
 
-  private void step() {
-    stepDue = false;
-    lastStep = now();
+  private void runTick() {
+    tickScheduled = false;
+    lastTickMs = now();
     handle(core::tick);
   }
 
   /** The core takes a step once all that has come by now is read: one for many inputs. */
-  private void stepSoon() {
-    if (!stepDue) {
-      stepDue = true;
-      loop.next().execute(this::stepIfDue);
+  private void scheduleTick() {
+    if (!tickScheduled) {
+      tickScheduled = true;
+      loop.next().execute(this::runScheduledTick);
     }
   }
 
-  private void stepIfDue() {
-    if (stepDue) {
-      step();
+  private void runScheduledTick() {
+    if (tickScheduled) {
+      runTick();
     }
   }
 
@@ -114,7 +114,7 @@
   public void stopInOrder() throws InterruptedException {
     CountDownLatch ended = new CountDownLatch(1);
     loop.next().execute(() -> safely(core::beginToEnd));
-    var looks =
+    var endCheck =
         loop.next()
             .scheduleAtFixedRate(
                 () -> {
@@ -128,17 +128,18 @@
     if (!ended.await(Constants.HANDOVER_MOST_MS, TimeUnit.MILLISECONDS)) {
       LOG.warn("roles were not handed over in time: their leases run out");
     }
-    looks.cancel(false);
+    endCheck.cancel(false);
     stop();
   }
 
   /** Where the core takes requests of one socket. */
-  private interface Entry {
+  private interface RequestHandler {
     List<Outbox.Effect> request(
         long nowMs, long wallMs, long id, String method, String path, byte[] body);
   }
 
-  private void bind(Settings.Endpoint at, Entry entry) throws InterruptedException {
+  private void bind(Settings.Endpoint endpoint, RequestHandler handler)
+      throws InterruptedException {
     new ServerBootstrap()
         .group(loop)
         .channel(NioServerSocketChannel.class)
@@ -151,10 +152,10 @@
                 ch.pipeline()
                     .addLast(new HttpServerCodec())
                     .addLast(new HttpObjectAggregator(Constants.MAX_BODY + 1))
-                    .addLast(new Requests(entry));
+                    .addLast(new ServerHandler(handler));
               }
             })
-        .bind(at.host(), at.port())
+        .bind(endpoint.host(), endpoint.port())
         .sync();
   }
 
@@ -167,9 +168,9 @@
   }
 
   /** A fault in one input must not end the controller; the next input finds durable state. */
-  private void safely(Runnable r) {
+  private void safely(Runnable action) {
     try {
-      r.run();
+      action.run();
     } catch (RuntimeException e) {
       LOG.error("an input failed", e);
     }
@@ -206,54 +207,56 @@
 
   private void finish(Outbox.Call call, int status, byte[] body) {
     handle((nowMs, wallMs) -> core.outcome(nowMs, wallMs, call.then(), status, body));
-    stepSoon();
+    scheduleTick();
   }
 
-  private void answer(Outbox.Answer a) {
-    Pending p = pending.remove(a.request());
-    if (p == null || !p.channel().isActive()) {
+  private void answer(Outbox.Answer answer) {
+    Pending request = pending.remove(answer.request());
+    if (request == null || !request.channel().isActive()) {
       return;
     }
-    DefaultFullHttpResponse r =
+    DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
-            HttpResponseStatus.valueOf(a.status()),
-            Unpooled.wrappedBuffer(a.body()));
-    r.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
-    HttpUtil.setContentLength(r, a.body().length);
-    if (a.retryAfterS() > 0) {
-      r.headers().setInt(HttpHeaderNames.RETRY_AFTER, a.retryAfterS());
+            HttpResponseStatus.valueOf(answer.status()),
+            Unpooled.wrappedBuffer(answer.body()));
+    response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+    HttpUtil.setContentLength(response, answer.body().length);
+    if (answer.retryAfterS() > 0) {
+      response.headers().setInt(HttpHeaderNames.RETRY_AFTER, answer.retryAfterS());
     }
-    if (!p.keepAlive()) {
-      r.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+    if (!request.keepAlive()) {
+      response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
-    var written = p.channel().writeAndFlush(r);
-    if (!p.keepAlive()) {
-      written.addListener(f -> p.channel().close());
+    var written = request.channel().writeAndFlush(response);
+    if (!request.keepAlive()) {
+      written.addListener(f -> request.channel().close());
     }
   }
 
-  private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private final Entry entry;
+  private final class ServerHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final RequestHandler handler;
 
-    Requests(Entry entry) {
-      this.entry = entry;
+    ServerHandler(RequestHandler handler) {
+      this.handler = handler;
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest r) {
-      long id = ++requests;
-      pending.put(id, new Pending(ctx.channel(), HttpUtil.isKeepAlive(r)));
-      ByteBuf content = r.content();
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+      long id = ++lastRequestId;
+      pending.put(id, new Pending(ctx.channel(), HttpUtil.isKeepAlive(request)));
+      ByteBuf content = request.content();
       byte[] body = ByteBufUtil.getBytes(content);
-      String uri = r.uri();
+      String uri = request.uri();
       int query = uri.indexOf('?');
       String path = query < 0 ? uri : uri.substring(0, query);
-      if (r.decoderResult().isFailure() || body.length > Constants.MAX_BODY) {
+      if (request.decoderResult().isFailure() || body.length > Constants.MAX_BODY) {
         answer(new Outbox.Answer(id, 400, MALFORMED, 0, false));
         return;
       }
-      handle((nowMs, wallMs) -> entry.request(nowMs, wallMs, id, r.method().name(), path, body));
+      handle(
+          (nowMs, wallMs) ->
+              handler.request(nowMs, wallMs, id, request.method().name(), path, body));
     }
 
     @Override
--- a/src/main/java/org/baygw/control/net/HttpClient.java
+++ b/src/main/java/org/baygw/control/net/HttpClient.java
@@ -36,16 +36,16 @@
  */
 final class HttpClient {
   /** Gets the outcome. */
-  interface Done {
+  interface ResponseCallback {
     void done(int status, byte[] body);
   }
 
   /** State of one watch or page may be large; the protocol sets no limit for them. */
-  private static final int MAX_RESPONSE = 16 * 1024 * 1024;
+  private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
   private static final int MAX_IDLE_PER_ADDRESS = 4;
   private static final int CONNECT_TIMEOUT_MS = 1_000;
-  private static final byte[] NONE = new byte[0];
+  private static final byte[] NO_BODY = new byte[0];
 
   private final Map<String, Deque<Connection>> idle = new HashMap<>();
   private final Bootstrap bootstrap;
@@ -63,49 +63,49 @@
                   protected void initChannel(SocketChannel ch) {
                     ch.pipeline()
                         .addLast(new HttpClientCodec())
-                        .addLast(new HttpObjectAggregator(MAX_RESPONSE));
+                        .addLast(new HttpObjectAggregator(MAX_RESPONSE_BYTES));
                   }
                 });
   }
 
-  void call(Outbox.Call c, Done done) {
-    Deque<Connection> free = idle.get(c.addr());
-    while (free != null && !free.isEmpty()) {
-      Connection k = free.pollLast();
-      if (k.channel.isActive()) {
-        k.send(c, done);
+  void call(Outbox.Call call, ResponseCallback callback) {
+    Deque<Connection> idleConnections = idle.get(call.addr());
+    while (idleConnections != null && !idleConnections.isEmpty()) {
+      Connection connection = idleConnections.pollLast();
+      if (connection.channel.isActive()) {
+        connection.send(call, callback);
         return;
       }
     }
-    int colon = c.addr().lastIndexOf(':');
-    InetSocketAddress to;
+    int colon = call.addr().lastIndexOf(':');
+    InetSocketAddress address;
     try {
-      to =
+      address =
           new InetSocketAddress(
-              c.addr().substring(0, Math.max(0, colon)),
-              Integer.parseInt(c.addr().substring(colon + 1)));
+              call.addr().substring(0, Math.max(0, colon)),
+              Integer.parseInt(call.addr().substring(colon + 1)));
     } catch (IllegalArgumentException e) {
-      done.done(Outbox.NOT_SENT, NONE);
+      callback.done(Outbox.NOT_SENT, NO_BODY);
       return;
     }
     bootstrap
-        .connect(to)
+        .connect(address)
         .addListener(
             (ChannelFuture f) -> {
               if (!f.isSuccess()) {
-                done.done(Outbox.NOT_SENT, NONE);
+                callback.done(Outbox.NOT_SENT, NO_BODY);
                 return;
               }
-              Connection k = new Connection(c.addr(), f.channel());
-              f.channel().pipeline().addLast(k);
-              k.send(c, done);
+              Connection connection = new Connection(call.addr(), f.channel());
+              f.channel().pipeline().addLast(connection);
+              connection.send(call, callback);
             });
   }
 
   private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
     final String addr;
     final Channel channel;
-    private Done waiting;
+    private ResponseCallback pendingCallback;
     private ScheduledFuture<?> timeout;
 
     Connection(String addr, Channel channel) {
@@ -113,19 +113,19 @@
       this.channel = channel;
     }
 
-    void send(Outbox.Call c, Done done) {
-      waiting = done;
-      byte[] body = c.body() == null ? NONE : c.body();
-      DefaultFullHttpRequest r =
+    void send(Outbox.Call call, ResponseCallback callback) {
+      pendingCallback = callback;
+      byte[] body = call.body() == null ? NO_BODY : call.body();
+      DefaultFullHttpRequest request =
           new DefaultFullHttpRequest(
               HttpVersion.HTTP_1_1,
-              HttpMethod.valueOf(c.method()),
-              c.path(),
+              HttpMethod.valueOf(call.method()),
+              call.path(),
               Unpooled.wrappedBuffer(body));
-      r.headers().set(HttpHeaderNames.HOST, addr);
-      if (c.body() != null) {
-        r.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
-        HttpUtil.setContentLength(r, body.length);
+      request.headers().set(HttpHeaderNames.HOST, addr);
+      if (call.body() != null) {
+        request.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+        HttpUtil.setContentLength(request, body.length);
       }
       timeout =
           channel
@@ -133,30 +133,31 @@
               .schedule(
                   () -> {
                     channel.close();
-                    finish(Outbox.NO_ANSWER, NONE);
+                    finish(Outbox.NO_ANSWER, NO_BODY);
                   },
-                  c.timeoutMs(),
+                  call.timeoutMs(),
                   TimeUnit.MILLISECONDS);
-      channel.writeAndFlush(r);
+      channel.writeAndFlush(request);
     }
 
     private void finish(int status, byte[] body) {
-      Done done = waiting;
-      if (done != null) {
-        waiting = null;
+      ResponseCallback callback = pendingCallback;
+      if (callback != null) {
+        pendingCallback = null;
         timeout.cancel(false);
-        done.done(status, body);
+        callback.done(status, body);
       }
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse r) {
-      byte[] body = ByteBufUtil.getBytes(r.content());
-      int status = r.decoderResult().isFailure() ? Outbox.NO_ANSWER : r.status().code();
-      if (HttpUtil.isKeepAlive(r) && waiting != null) {
-        Deque<Connection> free = idle.computeIfAbsent(addr, k -> new ArrayDeque<>());
-        if (free.size() < MAX_IDLE_PER_ADDRESS) {
-          free.add(this);
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+      byte[] body = ByteBufUtil.getBytes(response.content());
+      int status =
+          response.decoderResult().isFailure() ? Outbox.NO_ANSWER : response.status().code();
+      if (HttpUtil.isKeepAlive(response) && pendingCallback != null) {
+        Deque<Connection> idleConnections = idle.computeIfAbsent(addr, k -> new ArrayDeque<>());
+        if (idleConnections.size() < MAX_IDLE_PER_ADDRESS) {
+          idleConnections.add(this);
         } else {
           channel.close();
         }
@@ -168,14 +169,14 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      Deque<Connection> free = idle.get(addr);
-      if (free != null) {
-        free.remove(this);
-        if (free.isEmpty()) {
+      Deque<Connection> idleConnections = idle.get(addr);
+      if (idleConnections != null) {
+        idleConnections.remove(this);
+        if (idleConnections.isEmpty()) {
           idle.remove(addr);
         }
       }
-      finish(Outbox.NO_ANSWER, NONE);
+      finish(Outbox.NO_ANSWER, NO_BODY);
     }
 
     @Override
--- a/src/test/java/org/baygw/control/config/FeaturesReaderTest.java
+++ b/src/test/java/org/baygw/control/config/FeaturesReaderTest.java
@@ -12,13 +12,13 @@
 
 final class FeaturesReaderTest {
   @Test
-  void nothingIsOnUnlessSaid() throws SettingsReader.BadSettings {
+  void subsystemsAreOffByDefault() throws SettingsReader.BadSettings {
     assertNull(FeaturesReader.parse("").standby());
     assertNull(FeaturesReader.parse("[standby]\nenabled = false").standby());
   }
 
   @Test
-  void fieldsThatAreNotNamedHaveDefaults() throws SettingsReader.BadSettings {
+  void omittedFieldsHaveDefaults() throws SettingsReader.BadSettings {
     assertEquals(
         Features.Standby.DEFAULTS, FeaturesReader.parse("[standby]\nenabled = true").standby());
     Features.Standby standby =
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void theFileThatIsDeployedIsValid() throws SettingsReader.BadSettings {
+  void deployedFileIsValid() throws SettingsReader.BadSettings {
     assertNotNull(FeaturesReader.read(Path.of("deploy/features.toml")));
   }
 
@@ -50,14 +50,14 @@
         "standby = {enabled = true, kept_decisions = 15}|standby.kept_decisions: must be",
         "standby = {|config: not TOML"
       })
-  void namesWhatIsWrong(String text, String expected) {
+  void errorNamesTheInvalidField(String text, String expected) {
     SettingsReader.BadSettings bad =
         assertThrows(SettingsReader.BadSettings.class, () -> FeaturesReader.parse(text));
     assertEquals(expected, bad.getMessage().substring(0, expected.length()));
   }
 
   @Test
-  void aFileThatCannotBeReadIsNamed() {
+  void errorNamesTheUnreadableFile() {
     SettingsReader.BadSettings bad =
         assertThrows(
             SettingsReader.BadSettings.class, () -> FeaturesReader.read(Path.of("no/such")));
--- a/src/test/java/org/baygw/control/config/SettingsReaderTest.java
+++ b/src/test/java/org/baygw/control/config/SettingsReaderTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 final class SettingsReaderTest {
-  private static String good() throws IOException {
+  private static String validSettings() throws IOException {
     try (var in = SettingsReaderTest.class.getResourceAsStream("/self-check.toml")) {
       return String.format(
           new String(in.readAllBytes(), StandardCharsets.UTF_8), 8080, 8081, 8443, 2379);
@@ -19,8 +19,9 @@
   }
 
   @Test
-  void readsAndIgnoresWhatItDoesNotKnow() throws Exception {
-    Settings s = SettingsReader.parse("novelty = 3\n" + good() + "\n[settings.more]\nx = 1\n");
+  void ignoresUnknownFields() throws Exception {
+    Settings s =
+        SettingsReader.parse("novelty = 3\n" + validSettings() + "\n[settings.more]\nx = 1\n");
     assertEquals("self", s.label());
     assertEquals(8080, s.listen().port());
     assertEquals(4.0, s.team("team").cpus());
@@ -28,9 +29,10 @@
   }
 
   @Test
-  void aTeamForWhichNoLimitIsNamedHasNone() throws Exception {
+  void teamWithoutLimitsIsUnlimited() throws Exception {
     Settings.Team guest =
-        SettingsReader.parse(good().replace("cpus_max = 8.0", "cpus_max = 0.0")).team("team");
+        SettingsReader.parse(validSettings().replace("cpus_max = 8.0", "cpus_max = 0.0"))
+            .team("team");
     assertEquals(Double.POSITIVE_INFINITY, guest.cpusMax());
     assertEquals(Double.POSITIVE_INFINITY, guest.gpusMax());
   }
@@ -54,8 +56,8 @@
           label = "other"       | label = "self"           | siblings.label
           zones = ["here"]      | zones = [                | config
           """)
-  void namesTheBadField(String from, String to, String field) throws IOException {
-    String text = good();
+  void errorNamesTheInvalidField(String from, String to, String field) throws IOException {
+    String text = validSettings();
     assertTrue(text.contains(from), from);
     String bad = text.replace(from, to == null ? "" : to);
     SettingsReader.BadSettings e =
