--- a/src/main/java/org/baygw/control/Main.java
+++ b/src/main/java/org/baygw/control/Main.java
@@ -131,7 +131,7 @@
 
   private static void endInOrder(EventLoop eventLoop) {
     try {
-      eventLoop.stopInOrder();
+      eventLoop.handOverAndStop();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/org/baygw/control/config/Settings.java
+++ b/src/main/java/org/baygw/control/config/Settings.java
@@ -57,7 +57,7 @@
    * What is expected for a class of jobs: finished within so many seconds, or within so many times
    * its deadline. The one that does not apply is 0.
    */
-  public record Objective(String jobClass, double withinS, double times) {}
+  public record Objective(String jobClass, double withinS, double deadlineFactor) {}
 
   /** Workers' periods, in seconds. */
   public record WorkerTimes(double reportS, double leaseS, double cancelS) {
@@ -65,7 +65,7 @@
      * ms for which knowledge of cancellations is recent enough to renew a lease: what a lease
      * leaves of a cancellation's time, by this controller's steady clock.
      */
-    public long watermarkMs() {
+    public long watermarkMaxAgeMs() {
       return (long)
           (cancelS * 1000 * (1 - Constants.DRIFT)
               - leaseS * 1000 * (1 + Constants.DRIFT)
@@ -76,7 +76,7 @@
     public long watermarkPeriodMs(long maxMs) {
       return Math.max(
           Constants.WATERMARK_PERIOD_MIN_MS,
-          Math.min(maxMs, watermarkMs() / Constants.WATERMARK_TRIES));
+          Math.min(maxMs, watermarkMaxAgeMs() / Constants.WATERMARK_TRIES));
     }
   }
 
--- a/src/main/java/org/baygw/control/membership/CancellationWatermark.java
+++ b/src/main/java/org/baygw/control/membership/CancellationWatermark.java
@@ -29,7 +29,7 @@
     this.settings = settings;
     this.store = store;
     this.peers = peers;
-    this.maxAgeMs = settings.workers().watermarkMs();
+    this.maxAgeMs = settings.workers().watermarkMaxAgeMs();
     if (maxAgeMs < Constants.WATERMARK_TIGHT_MS) {
       LOG.warn(
           "cancel_s leaves {} ms beyond a lease: reports are answered only with knowledge younger than"
--- a/src/main/java/org/baygw/control/net/EventLoop.java
+++ b/src/main/java/org/baygw/control/net/EventLoop.java
@@ -111,7 +111,7 @@
    * Hands all roles over and ends the event loop; returns when that is done, or cannot be had in
    * time.
    */
-  public void stopInOrder() throws InterruptedException {
+  public void handOverAndStop() throws InterruptedException {
     CountDownLatch ended = new CountDownLatch(1);
     loop.next().execute(() -> safely(core::beginToEnd));
     var endCheck =
--- a/src/main/java/org/baygw/control/quota/Scheduler.java
+++ b/src/main/java/org/baygw/control/quota/Scheduler.java
@@ -394,9 +394,9 @@
     for (Settings.Objective aim : settings.objectives()) {
       if (aim.jobClass().equals(job.spec().jobClass())) {
         double withinS = aim.withinS();
-        if (aim.times() > 0) {
+        if (aim.deadlineFactor() > 0) {
           Double deadlineS = job.spec().deadlineS();
-          withinS = deadlineS == null ? 0 : deadlineS * aim.times();
+          withinS = deadlineS == null ? 0 : deadlineS * aim.deadlineFactor();
         }
         missed += withinS > 0 && ageS + job.spec().estimateS() > withinS ? 1 : 0;
       }
