--- a/src/main/java/org/baygw/control/jobs/Jobs.java
+++ b/src/main/java/org/baygw/control/jobs/Jobs.java
@@ -23,8 +23,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The users' API, at every controller. Accepting and cancelling are conditional writes, answered
- * after the write; every other answer comes from a copy made current first, unless it is final.
+ * The users' HTTP API, served by every controller. Accepting and cancelling a job are conditional
+ * writes to the state service, answered after the write. Job statuses are answered from the local
+ * copy of the state, which is first brought up to date unless the job is in a final state.
  */
 public final class Jobs {
   private static final Logger LOG = LoggerFactory.getLogger(Jobs.class);
@@ -49,13 +50,13 @@
     this.view = view;
   }
 
-  /** Whether this controller can take requests. */
+  /** Returns whether this controller can serve users' requests. */
   public boolean ready() {
-    // Users are better served elsewhere while the state service refuses this controller alone.
+    // While only this controller cannot reach the state service, another one serves users better.
     return store.loaded() && !peers.refusedAlone();
   }
 
-  /** Handles a request if it is one of ours. */
+  /** Handles a request to a path of this API; returns false for any other path. */
   public boolean handle(long request, String method, String path, byte[] body) {
     if (path.equals("/up")) {
       if (!method.equals("GET")) {
@@ -63,7 +64,7 @@
       } else if (ready()) {
         out.answer(request, 200, Json.bytes(Json.object().put("status", "up")));
       } else {
-        retryLater(request, 503, "not read in yet");
+        retryLater(request, 503, "state not loaded yet");
       }
       return true;
     }
@@ -108,7 +109,7 @@
       return;
     }
     if (!store.loaded()) {
-      retryLater(request, 503, "not read in yet");
+      retryLater(request, 503, "state not loaded yet");
       return;
     }
     if (view.jobs.containsKey(id)) {
@@ -127,7 +128,7 @@
       return;
     }
     if (view.types.isEmpty()) {
-      retryLater(request, 503, "the machine types are not known yet");
+      retryLater(request, 503, "machine types not loaded yet");
       return;
     }
     String unschedulable = unschedulableReason(spec);
@@ -136,7 +137,7 @@
       return;
     }
     if (pendingSubmissions >= Constants.MAX_WAITING) {
-      retryLater(request, 429, "too many submissions at once");
+      retryLater(request, 429, "too many pending submissions");
       return;
     }
     Job job = Job.accepted(spec, clock.wall());
@@ -150,13 +151,16 @@
           switch (outcome) {
             case OK -> out.answer(request, 201, statusBody(id, "pending", null));
             case CONFLICT -> poll(request, id);
-            case REFUSED -> retryLater(request, 429, "the state service takes no more now");
+            case REFUSED -> retryLater(request, 429, "the state service did not accept the write");
             case UNKNOWN -> retryLater(request, 503, "the state service does not answer");
           }
         });
   }
 
-  /** A known id is never refused, so a refusal waits for a current copy. */
+  /**
+   * Rejects a submission, after bringing the local copy of the state up to date: a submission with
+   * the id of an existing job is answered with that job's status instead.
+   */
   private void refuse(long request, String id, int status, String reason) {
     store.current(
         ok -> {
@@ -165,7 +169,7 @@
           } else if (view.jobs.containsKey(id)) {
             answer(request, id);
           } else {
-            LOG.info("refused {} with {}: {}", id, status, reason);
+            LOG.info("rejected submission {} with status {}: {}", id, status, reason);
             error(request, status, reason);
           }
         });
@@ -186,7 +190,7 @@
     int concurrentTasks = spec.service() ? spec.tasks() : 1;
     if (spec.cpus() * concurrentTasks > team.cpusMax() + Constants.EPS
         || spec.gpus() * concurrentTasks > team.gpusMax() + Constants.EPS) {
-      return "more than the team's limit";
+      return "exceeds the team's limit";
     }
     return null;
   }
@@ -198,7 +202,7 @@
       return;
     }
     if (!store.loaded()) {
-      retryLater(request, 503, "not read in yet");
+      retryLater(request, 503, "state not loaded yet");
       return;
     }
     store.current(
@@ -218,7 +222,7 @@
       return;
     }
     if (!store.loaded() || attemptsLeft == 0) {
-      retryLater(request, 503, "not now");
+      retryLater(request, 503, "temporarily unavailable");
       return;
     }
     if (known == null) {
