--- a/src/main/java/org/baygw/control/jobs/SubmissionCodec.java
+++ b/src/main/java/org/baygw/control/jobs/SubmissionCodec.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import org.baygw.control.model.JobSpec;
 
-/** Users' submissions on the wire. Here, and only here, stand the wire's names for them. */
+/** Decodes job submissions from JSON. Only this class maps their JSON field names to the model. */
 final class SubmissionCodec {
-  /** A field that is missing or invalid. */
+  /** Thrown if a field is missing or invalid; the message is the field's name. */
   static final class InvalidField extends Exception {
     private static final long serialVersionUID = 1L;
 
