--- a/src/main/java/org/baygw/control/admin/Admin.java
+++ b/src/main/java/org/baygw/control/admin/Admin.java
@@ -23,7 +23,10 @@
 import org.baygw.control.store.Txn;
 import org.baygw.control.workers.Workers;
 
-/** The operators' side: open parameters, members, partitions, machines, draining and metrics. */
+/**
+ * The operators' HTTP API: adjustable parameters, members, partitions, machines, draining and
+ * metrics.
+ */
 public final class Admin {
   private static final String ROOT = "/admin/v1";
 
@@ -59,7 +62,7 @@
     this.standby = standby;
   }
 
-  /** Handles a request if it is one of ours. */
+  /** Handles a request to a path of this API; returns false for any other path. */
   public boolean handle(long request, String method, String path, byte[] body) {
     switch (path) {
       case "/metrics" -> requireMethod("GET", request, method, () -> metrics(request));
@@ -165,7 +168,7 @@
         outcome -> {
           switch (outcome) {
             case OK -> out.answer(request, 200, Json.bytes(bodySupplier.get()));
-            case CONFLICT -> error(request, 409, "changed by someone else meanwhile");
+            case CONFLICT -> error(request, 409, "modified concurrently");
             default -> unavailable(request);
           }
         });
