--- a/src/main/java/org/baygw/control/admin/Metrics.java
+++ b/src/main/java/org/baygw/control/admin/Metrics.java
@@ -11,8 +11,8 @@
 import org.baygw.control.core.MetricsSink;
 
 /**
- * The metrics page. The slices count in plain fields; the registry reads them. It is made at the
- * first request for the page, because its classes would slow every start.
+ * The metrics page. Subsystems count in plain fields, which the registry reads. Created at the
+ * first request for the page, because loading the registry's classes would slow down every start.
  */
 final class Metrics implements MetricsSink {
   private static final double[] PERCENTILES = {50, 90, 99, 100};
@@ -42,7 +42,7 @@
     Gauge.builder(name, source, value).description(help).register(registry);
   }
 
-  /** Percentiles of a histogram in milliseconds. */
+  /** Registers the percentiles and the count of a histogram of milliseconds. */
   void histogram(String name, String help, Histogram histogram) {
     for (double p : PERCENTILES) {
       Gauge.builder(name, histogram, x -> x.getValueAtPercentile(p))
