--- a/src/main/java/org/baygw/control/config/FeaturesReader.java
+++ b/src/main/java/org/baygw/control/config/FeaturesReader.java
@@ -8,9 +8,9 @@
 import org.baygw.control.config.SettingsReader.BadSettings;
 
 /**
- * Reads the file that chooses optional subsystems. A field that is unknown, of the wrong type or
- * out of bounds is named by its path: it is the operators' own file, where a mistyped name must not
- * pass for a default.
+ * Reads the file that selects optional subsystems. A field that is unknown, of the wrong type or
+ * out of bounds is an error that names the field's path. Unlike in the platform's file, unknown
+ * fields are errors, because a mistyped name must not silently result in a default.
  */
 public final class FeaturesReader {
   private static final String STANDBY = "standby";
