--- a/src/main/java/org/baygw/control/config/Settings.java
+++ b/src/main/java/org/baygw/control/config/Settings.java
@@ -4,9 +4,9 @@
 import org.baygw.control.Constants;
 
 /**
- * The platform's settings file, checked.
+ * The platform's settings file, validated.
  *
- * @param timeBoundMs how far the time of day of any controller may be from the true one
+ * @param timeBoundMs largest error, in ms, of any controller's time of day
  */
 public record Settings(
     String label,
@@ -31,11 +31,11 @@
   /** Another controller. */
   public record Peer(String label, String zone, String addr) {}
 
-  /** A team's guarantee and limit. */
+  /** A team's guaranteed resources (cpus, gpus) and its limits (cpusMax, gpusMax). */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
     /**
-     * A team for which the platform names no limit at all, as a guest, has none: a limit of nothing
-     * would be a team whose every job can never run.
+     * Creates a team. A team whose limits are both 0, such as a guest team, is unlimited: with a
+     * limit of 0, none of its jobs could ever run.
      */
     public static Team of(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
       boolean unlimited = cpusMax == 0 && gpusMax == 0;
@@ -47,23 +47,23 @@
           unlimited ? Double.POSITIVE_INFINITY : gpusMax);
     }
 
-    /** Whether anything is guaranteed to the team; a guest has no guarantee. */
+    /** Returns whether any resources are guaranteed to the team; guest teams have no guarantee. */
     public boolean hasGuarantee() {
       return cpus > 0 || gpus > 0;
     }
   }
 
   /**
-   * What is expected for a class of jobs: finished within so many seconds, or within so many times
-   * its deadline. The one that does not apply is 0.
+   * The completion time objective for a class of jobs: either a number of seconds or a multiple of
+   * the job's deadline. The component that does not apply is 0.
    */
   public record Objective(String jobClass, double withinS, double deadlineFactor) {}
 
-  /** Workers' periods, in seconds. */
+  /** Workers' report period, lease duration and time limit for cancellations, in seconds. */
   public record WorkerTimes(double reportS, double leaseS, double cancelS) {
     /**
-     * ms for which knowledge of cancellations is recent enough to renew a lease: what a lease
-     * leaves of a cancellation's time, by this controller's steady clock.
+     * Greatest age, in ms of this controller's monotonic clock, of a cancellation watermark that is
+     * recent enough to renew a lease: the time limit for a cancellation minus the lease duration.
      */
     public long watermarkMaxAgeMs() {
       return (long)
@@ -72,7 +72,10 @@
               - Constants.CANCEL_MARGIN_MS);
     }
 
-    /** ms after which such knowledge is to be drawn anew, at most the given. */
+    /**
+     * Period, in ms, at which the cancellation watermark is refreshed: a fraction of its greatest
+     * age, at most {@code maxMs}.
+     */
     public long watermarkPeriodMs(long maxMs) {
       return Math.max(
           Constants.WATERMARK_PERIOD_MIN_MS,
@@ -80,30 +83,30 @@
     }
   }
 
-  /** What the state service takes. */
+  /** Limits of the state service. */
   public record StateLimits(double rps, double writeRps, double valueKb, int txnOps) {}
 
-  /** What the cloud takes. */
+  /** Request limit of the cloud and the lag of its machine list. */
   public record CloudLimits(double rps, double listLagS) {}
 
   /**
-   * What this controller has of its machine.
+   * The resources of its machine that this controller may use.
    *
-   * @param cpuShare of one core
+   * @param cpuShare fraction of one core
    */
   public record Resources(double cpuShare, int maxConnections) {
     /**
-     * ms between two turns of work that comes again and again, so that it takes no more than a
-     * share of what the processor gives.
+     * Returns the period, in ms, at which periodic work takes no more than a share of this
+     * controller's CPU time, within the given bounds.
      *
-     * @param costMs what one turn takes on a whole core
+     * @param costMs CPU time of one run on a whole core
      */
     public long periodMs(double costMs, double share, long minMs, long maxMs) {
       return Math.max(minMs, Math.min(maxMs, Math.round(costMs / (share * cpuShare))));
     }
   }
 
-  /** ms after which the core looks at what there is to do, if nothing made it do so before. */
+  /** Longest time, in ms, between two ticks of the core; inputs may cause earlier ones. */
   public long tickMs() {
     return resources.periodMs(
         Constants.TICK_COST_MS, Constants.TICK_SHARE, Constants.TICK_MS, Constants.TICK_MOST_MS);
