--- a/src/main/java/org/baygw/control/config/SettingsReader.java
+++ b/src/main/java/org/baygw/control/config/SettingsReader.java
@@ -13,9 +13,9 @@
 import java.util.Set;
 import org.baygw.control.core.Json;
 
-/** Reads the platform's file. Unknown fields are ignored; a bad one is named. */
+/** Reads the platform's settings file. Unknown fields are ignored; errors name the field. */
 public final class SettingsReader {
-  /** A field that is missing or invalid. */
+  /** Thrown if a file cannot be read or parsed, or if a field is unknown, missing or invalid. */
   public static final class BadSettings extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -45,7 +45,7 @@
     for (JsonNode n : root.path("siblings")) {
       String label = text(n, "label", "siblings.");
       if (!labels.add(label)) {
-        throw new BadSettings("siblings.label: '" + label + "' stands twice");
+        throw new BadSettings("siblings.label: '" + label + "' appears twice");
       }
       String addr = text(n, "addr", "siblings.");
       endpoint(addr, "siblings.addr");
@@ -63,7 +63,7 @@
     for (JsonNode n : settings.path("teams")) {
       String name = text(n, "name", "settings.teams.");
       if (!teamNames.add(name)) {
-        throw new BadSettings("settings.teams.name: '" + name + "' stands twice");
+        throw new BadSettings("settings.teams.name: '" + name + "' appears twice");
       }
       teams.add(
           Settings.Team.of(
@@ -139,7 +139,7 @@
   private static String text(JsonNode n, String field, String prefix) throws BadSettings {
     JsonNode value = n.path(field);
     if (!value.isTextual() || value.asText().isBlank()) {
-      throw new BadSettings(prefix + field + ": missing or not a text");
+      throw new BadSettings(prefix + field + ": missing or not a string");
     }
     return value.asText();
   }
@@ -156,7 +156,7 @@
   private static double positive(JsonNode n, String field, String prefix) throws BadSettings {
     double value = number(n, field, prefix, 0);
     if (value <= 0) {
-      throw new BadSettings(prefix + field + ": must be above zero");
+      throw new BadSettings(prefix + field + ": must be greater than 0");
     }
     return value;
   }
@@ -169,7 +169,7 @@
         return new Settings.Endpoint(addr.substring(0, colon), port);
       }
     } catch (NumberFormatException e) {
-      // told below
+      // Reported below.
     }
     throw new BadSettings(field + ": not an address of the form host:port");
   }
