--- a/src/main/java/org/baygw/control/net/EventLoop.java
+++ b/src/main/java/org/baygw/control/net/EventLoop.java
@@ -37,7 +37,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries inputs to the core and its effects to the network, on one event loop. */
+/**
+ * Passes network and timer inputs to the core and carries out the core's effects, on a
+ * single-threaded event loop.
+ */
 public final class EventLoop {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
@@ -45,7 +48,7 @@
   private static final byte[] MALFORMED =
       "{\"error\":\"malformed\"}".getBytes(StandardCharsets.UTF_8);
 
-  /** Where an answer goes. */
+  /** The connection on which a request is to be answered. */
   private record Pending(Channel channel, boolean keepAlive) {}
 
   private final Settings settings;
@@ -64,16 +67,14 @@
     this.client = new HttpClient(loop);
   }
 
-  /** Listens and runs; returns once the socket for users and workers is open. */
+  /** Opens the listening sockets and starts the timer; returns once both sockets are open. */
   public void start() throws InterruptedException {
     bind(settings.listen(), core::request);
     bind(settings.peerListen(), core::peerRequest);
     loop.next().execute(this::onTimer);
   }
 
-  /**
-   * Has the core take a step if none was taken for a while, and comes again when the next is due.
-   */
+  /** Runs a tick of the core if one is due, and schedules itself for when the next one is due. */
   private void onTimer() {
     if (now() - lastTickMs >= settings.tickMs()) {
       runTick();
@@ -88,7 +89,10 @@
     handle(core::tick);
   }
 
-  /** The core takes a step once all that has come by now is read: one for many inputs. */
+  /**
+   * Schedules a tick of the core after all inputs that have already arrived, so that many inputs
+   * share one tick.
+   */
   private void scheduleTick() {
     if (!tickScheduled) {
       tickScheduled = true;
@@ -102,14 +106,17 @@
     }
   }
 
-  /** Ends the event loop and waits for it, so that nothing runs when the program ends. */
+  /**
+   * Shuts the event loop down and waits until it has terminated, so that nothing runs when the
+   * program exits.
+   */
   public void stop() {
     loop.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).syncUninterruptibly();
   }
 
   /**
-   * Hands all roles over and ends the event loop; returns when that is done, or cannot be had in
-   * time.
+   * Hands all roles over, for at most {@link Constants#HANDOVER_MOST_MS}, then stops the event
+   * loop.
    */
   public void handOverAndStop() throws InterruptedException {
     CountDownLatch ended = new CountDownLatch(1);
@@ -132,7 +139,7 @@
     stop();
   }
 
-  /** Where the core takes requests of one socket. */
+  /** The core's handler for the requests of one listening socket. */
   private interface RequestHandler {
     List<Outbox.Effect> request(
         long nowMs, long wallMs, long id, String method, String path, byte[] body);
@@ -167,7 +174,10 @@
     return System.currentTimeMillis();
   }
 
-  /** A fault in one input must not end the controller; the next input finds durable state. */
+  /**
+   * Runs an action and logs its exceptions: a fault in one input must not end the controller, since
+   * the next input finds durable state.
+   */
   private void safely(Runnable action) {
     try {
       action.run();
@@ -176,12 +186,12 @@
     }
   }
 
-  /** Something that the core is to handle. */
+  /** An input to the core. */
   private interface Input {
     List<Outbox.Effect> handle(long nowMs, long wallMs);
   }
 
-  /** Has the core handle an input and carries out what it decides. */
+  /** Passes an input to the core and carries out the effects that the core returns. */
   private void handle(Input input) {
     safely(
         () -> {
@@ -266,7 +276,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      LOG.debug("a connection failed: {}", cause.toString());
+      LOG.debug("connection failed: {}", cause.toString());
       ctx.close();
     }
   }
