--- a/src/main/java/org/baygw/control/net/HttpClient.java
+++ b/src/main/java/org/baygw/control/net/HttpClient.java
@@ -31,16 +31,16 @@
 import org.baygw.control.core.Outbox;
 
 /**
- * Requests to other systems over kept connections, one request at a time on each. Runs on the event
+ * HTTP client with persistent connections, each carrying one request at a time. Used on the event
  * loop only.
  */
 final class HttpClient {
-  /** Gets the outcome. */
+  /** Receives the outcome of a request; the status is as in {@link Outbox.Callback}. */
   interface ResponseCallback {
     void done(int status, byte[] body);
   }
 
-  /** State of one watch or page may be large; the protocol sets no limit for them. */
+  /** Watch responses and pages of state may be large; the protocol sets no limit for them. */
   private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
   private static final int MAX_IDLE_PER_ADDRESS = 4;
