--- a/src/main/java/org/baygw/control/net/SelfCheck.java
+++ b/src/main/java/org/baygw/control/net/SelfCheck.java
@@ -17,9 +17,9 @@
 import org.baygw.control.core.Json;
 
 /**
- * Starts a controller on loopback against a stand-in that agrees to everything, takes one job
- * through it, and ends. Shows that the program runs here; the build also collects the classes of a
- * start by it.
+ * Starts a controller on loopback against a stub that accepts every request, submits, polls and
+ * aborts one job, and stops. Shows that the program runs on this machine; the build also uses it to
+ * record the classes that a start loads.
  */
 public final class SelfCheck {
   private static final int MAX_ATTEMPTS = 100;
@@ -32,7 +32,7 @@
     this.baseUrl = "http://127.0.0.1:" + port;
   }
 
-  /** Plays it with the optional subsystems that are chosen. */
+  /** Runs the check with the given optional subsystems; returns whether it succeeded. */
   public static boolean run(Features features) throws Exception {
     int[] ports = new int[2];
     ServerSocket[] reserved = new ServerSocket[ports.length];
@@ -104,7 +104,8 @@
   }
 
   /**
-   * The state service and the cloud in one: every condition holds, and nothing else ever changes.
+   * Answers as the state service and the cloud: every condition of a write holds, and nothing else
+   * ever changes the state.
    */
   private void answerAsStub(HttpExchange exchange) throws IOException {
     JsonNode request = Json.parse(exchange.getRequestBody().readAllBytes());
