--- a/src/main/java/org/baygw/control/config/FeaturesReader.java
+++ b/src/main/java/org/baygw/control/config/FeaturesReader.java
@@ -10,7 +10,8 @@
 /**
  * Reads the file that selects optional subsystems. A field that is unknown, of the wrong type or
  * out of bounds is an error that names the field's path. Unlike in the platform's file, unknown
- * fields are errors, because a mistyped name must not silently result in a default.
+ * fields are errors: operators write this file, and a mistyped name must not silently result in a
+ * default.
  */
 public final class FeaturesReader {
   private static final String STANDBY = "standby";
--- a/src/main/java/org/baygw/control/jobs/Jobs.java
+++ b/src/main/java/org/baygw/control/jobs/Jobs.java
@@ -24,8 +24,9 @@
 
 /**
  * The users' HTTP API, served by every controller. Accepting and cancelling a job are conditional
- * writes to the state service, answered after the write. Job statuses are answered from the local
- * copy of the state, which is first brought up to date unless the job is in a final state.
+ * writes to the state service, answered after the write. Every other answer about a job comes from
+ * the local copy of the state, which is first brought up to date unless the job is in a final state
+ * there.
  */
 public final class Jobs {
   private static final Logger LOG = LoggerFactory.getLogger(Jobs.class);
@@ -151,7 +152,8 @@
           switch (outcome) {
             case OK -> out.answer(request, 201, statusBody(id, "pending", null));
             case CONFLICT -> poll(request, id);
-            case REFUSED -> retryLater(request, 429, "the state service did not accept the write");
+            case REFUSED ->
+                retryLater(request, 429, "the state service accepts no more writes now");
             case UNKNOWN -> retryLater(request, 503, "the state service does not answer");
           }
         });
--- a/src/main/java/org/baygw/control/net/EventLoop.java
+++ b/src/main/java/org/baygw/control/net/EventLoop.java
@@ -115,8 +115,8 @@
   }
 
   /**
-   * Hands all roles over, for at most {@link Constants#HANDOVER_MOST_MS}, then stops the event
-   * loop.
+   * Hands all roles over and stops the event loop; returns when that is done. If the handover takes
+   * too long, the roles' leases run out instead.
    */
   public void handOverAndStop() throws InterruptedException {
     CountDownLatch ended = new CountDownLatch(1);
