--- a/src/main/java/org/baygw/control/admin/Metrics.java
+++ b/src/main/java/org/baygw/control/admin/Metrics.java
@@ -11,8 +11,8 @@
 import org.baygw.control.core.MetricsSink;
 
 /**
- * The metrics page. The slices count in plain fields; the registry reads them. It is made at the
- * first request for the page, because its classes would slow every start.
+ * The metrics page. Subsystems count in plain fields, which the registry reads. Created at the
+ * first request for the page, because loading the registry's classes would slow down every start.
  */
 final class Metrics implements MetricsSink {
   private static final double[] PERCENTILES = {50, 90, 99, 100};
@@ -34,26 +34,26 @@
     counter(name, help, value, DoubleSupplier::getAsDouble);
   }
 
-  <T> void counter(String name, String help, T of, ToDoubleFunction<T> value) {
-    FunctionCounter.builder(name, of, value).description(help).register(registry);
+  <T> void counter(String name, String help, T source, ToDoubleFunction<T> value) {
+    FunctionCounter.builder(name, source, value).description(help).register(registry);
   }
 
-  <T> void gauge(String name, String help, T of, ToDoubleFunction<T> value) {
-    Gauge.builder(name, of, value).description(help).register(registry);
+  <T> void gauge(String name, String help, T source, ToDoubleFunction<T> value) {
+    Gauge.builder(name, source, value).description(help).register(registry);
   }
 
-  /** Percentiles of a histogram in milliseconds. */
-  void histogram(String name, String help, Histogram h) {
+  /** Registers the percentiles and the count of a histogram of milliseconds. */
+  void histogram(String name, String help, Histogram histogram) {
     for (double p : PERCENTILES) {
-      Gauge.builder(name, h, x -> x.getValueAtPercentile(p))
+      Gauge.builder(name, histogram, x -> x.getValueAtPercentile(p))
           .description(help)
           .tag("percentile", String.valueOf(p))
           .register(registry);
     }
-    counter(name + ".count", help, h, Histogram::getTotalCount);
+    counter(name + ".count", help, histogram, Histogram::getTotalCount);
   }
 
-  String page() {
+  String scrape() {
     return registry.scrape();
   }
 }
