--- a/src/main/java/org/baygw/control/membership/CancellationWatermark.java
+++ b/src/main/java/org/baygw/control/membership/CancellationWatermark.java
@@ -28,7 +28,7 @@
     this.settings = settings;
     this.store = store;
     this.peers = peers;
-    this.maxAgeMs = settings.workers().watermarkMs();
+    this.maxAgeMs = settings.workers().watermarkMaxAgeMs();
     if (maxAgeMs < Constants.WATERMARK_WARN_MS) {
       LOG.warn(
           "cancel_s exceeds lease_s by only {} ms after margins: worker leases are renewed only while"
--- a/src/main/java/org/baygw/control/net/EventLoop.java
+++ b/src/main/java/org/baygw/control/net/EventLoop.java
@@ -37,7 +37,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries inputs to the core and its effects to the network, on one event loop. */
+/**
+ * Passes network and timer inputs to the core and carries out the core's effects, on a
+ * single-threaded event loop.
+ */
 public final class EventLoop {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
@@ -45,7 +48,7 @@
   private static final byte[] MALFORMED =
       "{\"error\":\"malformed\"}".getBytes(StandardCharsets.UTF_8);
 
-  /** Where an answer goes. */
+  /** The connection on which a request is to be answered. */
   private record Pending(Channel channel, boolean keepAlive) {}
 
   private final Settings settings;
@@ -53,9 +56,9 @@
   private final EventLoopGroup loop;
   private final HttpClient client;
   private final Map<Long, Pending> pending = new HashMap<>();
-  private long requests;
-  private boolean stepDue;
-  private long lastStep;
+  private long lastRequestId;
+  private boolean tickScheduled;
+  private long lastTickMs;
 
   public EventLoop(Settings settings, Features features) {
     this.settings = settings;
@@ -64,57 +67,61 @@
     this.client = new HttpClient(loop);
   }
 
-  /** Listens and runs; returns once the socket for users and workers is open. */
+  /** Opens the listening sockets and starts the timer; returns once both sockets are open. */
   public void start() throws InterruptedException {
     bind(settings.listen(), core::request);
     bind(settings.peerListen(), core::peerRequest);
-    loop.next().execute(this::tick);
+    loop.next().execute(this::onTimer);
   }
 
-  /**
-   * Has the core take a step if none was taken for a while, and comes again when the next is due.
-   */
-  private void tick() {
-    if (now() - lastStep >= settings.tickMs()) {
-      step();
+  /** Runs a tick of the core if one is due, and schedules itself for when the next one is due. */
+  private void onTimer() {
+    if (now() - lastTickMs >= settings.tickMs()) {
+      runTick();
     }
-    long left = Math.max(1, lastStep + settings.tickMs() - now());
-    loop.next().schedule(this::tick, left, TimeUnit.MILLISECONDS);
+    long left = Math.max(1, lastTickMs + settings.tickMs() - now());
+    loop.next().schedule(this::onTimer, left, TimeUnit.MILLISECONDS);
   }
 
-  private void step() {
-    stepDue = false;
-    lastStep = now();
+  private void runTick() {
+    tickScheduled = false;
+    lastTickMs = now();
     handle(core::tick);
   }
 
-  /** The core takes a step once all that has come by now is read: one for many inputs. */
-  private void stepSoon() {
-    if (!stepDue) {
-      stepDue = true;
-      loop.next().execute(this::stepIfDue);
+  /**
+   * Schedules a tick of the core after all inputs that have already arrived, so that many inputs
+   * share one tick.
+   */
+  private void scheduleTick() {
+    if (!tickScheduled) {
+      tickScheduled = true;
+      loop.next().execute(this::runScheduledTick);
     }
   }
 
-  private void stepIfDue() {
-    if (stepDue) {
-      step();
+  private void runScheduledTick() {
+    if (tickScheduled) {
+      runTick();
     }
   }
 
-  /** Ends the event loop and waits for it, so that nothing runs when the program ends. */
+  /**
+   * Shuts the event loop down and waits until it has terminated, so that nothing runs when the
+   * program exits.
+   */
   public void stop() {
     loop.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).syncUninterruptibly();
   }
 
   /**
-   * Hands all roles over and ends the event loop; returns when that is done, or cannot be had in
-   * time.
+   * Hands all roles over and stops the event loop; returns when that is done. If the handover takes
+   * too long, the roles' leases run out instead.
    */
-  public void stopInOrder() throws InterruptedException {
+  public void handOverAndStop() throws InterruptedException {
     CountDownLatch ended = new CountDownLatch(1);
     loop.next().execute(() -> safely(core::beginShutdown));
-    var looks =
+    var endCheck =
         loop.next()
             .scheduleAtFixedRate(
                 () -> {
@@ -128,17 +135,18 @@
     if (!ended.await(Constants.HANDOVER_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
       LOG.warn("roles were not handed over in time: their leases run out");
     }
-    looks.cancel(false);
+    endCheck.cancel(false);
     stop();
   }
 
-  /** Where the core takes requests of one socket. */
-  private interface Entry {
+  /** The core's handler for the requests of one listening socket. */
+  private interface RequestHandler {
     List<Outbox.Effect> request(
         long nowMs, long wallMs, long id, String method, String path, byte[] body);
   }
 
-  private void bind(Settings.Endpoint at, Entry entry) throws InterruptedException {
+  private void bind(Settings.Endpoint endpoint, RequestHandler handler)
+      throws InterruptedException {
     new ServerBootstrap()
         .group(loop)
         .channel(NioServerSocketChannel.class)
@@ -151,10 +159,10 @@
                 ch.pipeline()
                     .addLast(new HttpServerCodec())
                     .addLast(new HttpObjectAggregator(Constants.MAX_BODY_BYTES + 1))
-                    .addLast(new Requests(entry));
+                    .addLast(new ServerHandler(handler));
               }
             })
-        .bind(at.host(), at.port())
+        .bind(endpoint.host(), endpoint.port())
         .sync();
   }
 
@@ -166,21 +174,24 @@
     return System.currentTimeMillis();
   }
 
-  /** A fault in one input must not end the controller; the next input finds durable state. */
-  private void safely(Runnable r) {
+  /**
+   * Runs an action and logs its exceptions: a fault in one input must not end the controller, since
+   * the next input finds durable state.
+   */
+  private void safely(Runnable action) {
     try {
-      r.run();
+      action.run();
     } catch (RuntimeException e) {
       LOG.error("an input failed", e);
     }
   }
 
-  /** Something that the core is to handle. */
+  /** An input to the core. */
   private interface Input {
     List<Outbox.Effect> handle(long nowMs, long wallMs);
   }
 
-  /** Has the core handle an input and carries out what it decides. */
+  /** Passes an input to the core and carries out the effects that the core returns. */
   private void handle(Input input) {
     safely(
         () -> {
@@ -206,54 +217,56 @@
 
   private void finish(Outbox.Call call, int status, byte[] body) {
     handle((nowMs, wallMs) -> core.outcome(nowMs, wallMs, call.callback(), status, body));
-    stepSoon();
+    scheduleTick();
   }
 
-  private void answer(Outbox.Answer a) {
-    Pending p = pending.remove(a.requestId());
-    if (p == null || !p.channel().isActive()) {
+  private void answer(Outbox.Answer answer) {
+    Pending request = pending.remove(answer.requestId());
+    if (request == null || !request.channel().isActive()) {
       return;
     }
-    DefaultFullHttpResponse r =
+    DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
-            HttpResponseStatus.valueOf(a.status()),
-            Unpooled.wrappedBuffer(a.body()));
-    r.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
-    HttpUtil.setContentLength(r, a.body().length);
-    if (a.retryAfterS() > 0) {
-      r.headers().setInt(HttpHeaderNames.RETRY_AFTER, a.retryAfterS());
+            HttpResponseStatus.valueOf(answer.status()),
+            Unpooled.wrappedBuffer(answer.body()));
+    response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+    HttpUtil.setContentLength(response, answer.body().length);
+    if (answer.retryAfterS() > 0) {
+      response.headers().setInt(HttpHeaderNames.RETRY_AFTER, answer.retryAfterS());
     }
-    if (!p.keepAlive()) {
-      r.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+    if (!request.keepAlive()) {
+      response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
-    var written = p.channel().writeAndFlush(r);
-    if (!p.keepAlive()) {
-      written.addListener(f -> p.channel().close());
+    var written = request.channel().writeAndFlush(response);
+    if (!request.keepAlive()) {
+      written.addListener(f -> request.channel().close());
     }
   }
 
-  private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private final Entry entry;
+  private final class ServerHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final RequestHandler handler;
 
-    Requests(Entry entry) {
-      this.entry = entry;
+    ServerHandler(RequestHandler handler) {
+      this.handler = handler;
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest r) {
-      long id = ++requests;
-      pending.put(id, new Pending(ctx.channel(), HttpUtil.isKeepAlive(r)));
-      ByteBuf content = r.content();
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+      long id = ++lastRequestId;
+      pending.put(id, new Pending(ctx.channel(), HttpUtil.isKeepAlive(request)));
+      ByteBuf content = request.content();
       byte[] body = ByteBufUtil.getBytes(content);
-      String uri = r.uri();
+      String uri = request.uri();
       int query = uri.indexOf('?');
       String path = query < 0 ? uri : uri.substring(0, query);
-      if (r.decoderResult().isFailure() || body.length > Constants.MAX_BODY_BYTES) {
+      if (request.decoderResult().isFailure() || body.length > Constants.MAX_BODY_BYTES) {
         answer(new Outbox.Answer(id, 400, MALFORMED, 0, false));
         return;
       }
-      handle((nowMs, wallMs) -> entry.request(nowMs, wallMs, id, r.method().name(), path, body));
+      handle(
+          (nowMs, wallMs) ->
+              handler.request(nowMs, wallMs, id, request.method().name(), path, body));
     }
 
     @Override
@@ -263,7 +276,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      LOG.debug("a connection failed: {}", cause.toString());
+      LOG.debug("connection failed: {}", cause.toString());
       ctx.close();
     }
   }
--- a/src/main/java/org/baygw/control/quota/Scheduler.java
+++ b/src/main/java/org/baygw/control/quota/Scheduler.java
@@ -409,9 +409,9 @@
     for (Settings.Objective objective : settings.objectives()) {
       if (objective.jobClass().equals(job.spec().jobClass())) {
         double withinS = objective.withinS();
-        if (objective.times() > 0) {
+        if (objective.deadlineFactor() > 0) {
           Double deadlineS = job.spec().deadlineS();
-          withinS = deadlineS == null ? 0 : deadlineS * objective.times();
+          withinS = deadlineS == null ? 0 : deadlineS * objective.deadlineFactor();
         }
         missed += withinS > 0 && ageS + job.spec().estimateS() > withinS ? 1 : 0;
       }
--- a/src/test/java/org/baygw/control/sim/FailoverProbe.java
+++ b/src/test/java/org/baygw/control/sim/FailoverProbe.java
@@ -11,17 +11,17 @@
 import org.baygw.control.Constants;
 
 /**
- * Notes when claims end and are taken, and when the orders of a new epoch first take effect. An
- * order of the leader is a durable grant; one of a partition's owner is any message with its token
- * that a worker accepts.
+ * Records when claims end and are taken, and when orders of a new epoch first take effect. An order
+ * of the leader takes effect as a durable grant, an order of a partition's owner as a message with
+ * its token that a worker accepts.
  */
 final class FailoverProbe {
   static final String LEADER = "leader";
 
-  /** Times of one role's latest change of owner, in ms; -1 where something has not come yet. */
+  /** Times of one change of a role's owner, in ms; -1 for steps that have not happened yet. */
   static final class Failover {
     final String formerOwner;
-    final long freedAt;
+    final long claimEndedAt;
 
     /** Workers of the partition when its claim ended; the leader's role has none. */
     final int workers;
@@ -30,51 +30,51 @@
     long firstOrderAt = -1;
     long firstLaunchAt = -1;
 
-    Failover(String formerOwner, long freedAt, int workers) {
+    Failover(String formerOwner, long claimEndedAt, int workers) {
       this.formerOwner = formerOwner;
       this.workers = workers;
-      this.freedAt = freedAt;
+      this.claimEndedAt = claimEndedAt;
     }
   }
 
-  private final SimulatedCluster world;
-  private final Map<String, String> owners = new HashMap<>();
-  private final Map<Long, String> claimants = new HashMap<>();
-  private final Map<Long, Set<String>> rolesOfEpoch = new HashMap<>();
+  private final SimulatedCluster cluster;
+  private final Map<String, String> ownersByRole = new HashMap<>();
+  private final Map<Long, String> claimantsByEpoch = new HashMap<>();
+  private final Map<Long, Set<String>> rolesByEpoch = new HashMap<>();
   final Map<String, Failover> latest = new TreeMap<>();
-  private final Map<String, List<Failover>> all = new TreeMap<>();
+  private final Map<String, List<Failover>> failoversByRole = new TreeMap<>();
 
-  FailoverProbe(SimulatedCluster world) {
-    this.world = world;
+  FailoverProbe(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
-  void claimed(String role, JsonNode claim, long stamp) {
-    owners.put(role, claim.path("owner").asText());
-    claimants.put(stamp, claim.path("owner").asText());
-    rolesOfEpoch.computeIfAbsent(stamp, k -> new HashSet<>()).add(role);
+  void claimed(String role, JsonNode claim, long epoch) {
+    ownersByRole.put(role, claim.path("owner").asText());
+    claimantsByEpoch.put(epoch, claim.path("owner").asText());
+    rolesByEpoch.computeIfAbsent(epoch, k -> new HashSet<>()).add(role);
     Failover failover = latest.get(role);
     if (failover != null && failover.claimedAt < 0) {
-      failover.claimedAt = world.now();
+      failover.claimedAt = cluster.now();
     }
   }
 
-  void freed(String role) {
+  void claimEnded(String role) {
     int workers = 0;
-    for (WorkerStub worker : world.workers.values()) {
-      workers += world.partitionOf(worker).equals(role) ? 1 : 0;
+    for (WorkerStub worker : cluster.workers.values()) {
+      workers += cluster.partitionOf(worker).equals(role) ? 1 : 0;
     }
-    Failover failover = new Failover(owners.remove(role), world.now(), workers);
+    Failover failover = new Failover(ownersByRole.remove(role), cluster.now(), workers);
     latest.put(role, failover);
-    all.computeIfAbsent(role, k -> new ArrayList<>()).add(failover);
+    failoversByRole.computeIfAbsent(role, k -> new ArrayList<>()).add(failover);
   }
 
-  /** The leader under this epoch made a grant durable. */
+  /** The leader of this epoch made a grant durable. */
   void granted(long epoch) {
     Failover failover = latest.get(LEADER);
     if (failover != null
         && failover.firstOrderAt < 0
-        && rolesOfEpoch.getOrDefault(epoch, Set.of()).contains(LEADER)) {
-      failover.firstOrderAt = world.now();
+        && rolesByEpoch.getOrDefault(epoch, Set.of()).contains(LEADER)) {
+      failover.firstOrderAt = cluster.now();
     }
   }
 
@@ -84,46 +84,46 @@
     long epoch = token >> Constants.TOKEN_BITS;
     if (failover == null
         || failover.claimedAt < 0
-        || !rolesOfEpoch.getOrDefault(epoch, Set.of()).contains(partition)) {
+        || !rolesByEpoch.getOrDefault(epoch, Set.of()).contains(partition)) {
       return;
     }
     if (failover.firstOrderAt < 0) {
-      failover.firstOrderAt = world.now();
+      failover.firstOrderAt = cluster.now();
     }
     if (launches && failover.firstLaunchAt < 0) {
-      failover.firstLaunchAt = world.now();
+      failover.firstLaunchAt = cluster.now();
     }
   }
 
-  /** Who made the claims of an epoch; null where there were none. */
+  /** The controller that made the claims of an epoch; null if there were none. */
   String claimant(long epoch) {
-    return claimants.get(epoch);
+    return claimantsByEpoch.get(epoch);
   }
 
-  /** Each role's first change of owner since then. */
+  /** Each role's first change of owner since the given time. */
   Map<String, Failover> firstSince(long since) {
     Map<String, Failover> found = new TreeMap<>();
-    all.forEach(
+    failoversByRole.forEach(
         (role, failovers) ->
             failovers.stream()
-                .filter(failover -> failover.freedAt >= since)
+                .filter(failover -> failover.claimEndedAt >= since)
                 .findFirst()
                 .ifPresent(failover -> found.put(role, failover)));
     return found;
   }
 
-  /** When a claim of the controller last ended. */
-  long lastFreedOf(String label) {
-    return all.values().stream()
+  /** Time at which a claim of the controller last ended; far in the past if none has. */
+  long lastClaimEndOf(String label) {
+    return failoversByRole.values().stream()
         .flatMap(List::stream)
         .filter(failover -> label.equals(failover.formerOwner))
-        .mapToLong(failover -> failover.freedAt)
+        .mapToLong(failover -> failover.claimEndedAt)
         .max()
         .orElse(Long.MIN_VALUE / 2);
   }
 
-  /** Who holds a role, as the state service has it; null where nobody does. */
+  /** The owner of a role according to the state service; null if there is none. */
   String owner(String role) {
-    return owners.get(role);
+    return ownersByRole.get(role);
   }
 }
--- a/src/test/java/org/baygw/control/sim/ProcessDays.java
+++ b/src/test/java/org/baygw/control/sim/ProcessScenarios.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 import java.util.Random;
 
-/** Days on loopback with processes that are killed, paused and ended at random, from a seed. */
-final class ProcessDays {
+/** Loopback scenarios from a seed: processes are killed, paused and terminated at random. */
+final class ProcessScenarios {
   private static final Path DEPLOY = Path.of("deploy/service.toml");
   private static final String FEATURES = "--features";
 
-  /** One controller's end that is measured, for each so many s: it is back and settled by then. */
+  /** Time between measured kills: the killed controller is back and settled by the next. */
   private static final double KILL_PERIOD_S = 18;
 
-  private ProcessDays() {}
+  private ProcessScenarios() {}
 
-  /** The command line that is deployed, with the features file or without it. */
+  /** The deployed command line, with or without the features file. */
   static List<String> command(boolean standby) throws IOException {
     String text = Files.readString(DEPLOY);
     int at = text.indexOf("run = \"") + "run = \"".length();
@@ -43,82 +43,82 @@
         seed);
   }
 
-  /** Kills, pauses, orderly ends and cancellations, back to back. */
+  /** Kills, pauses, terminations, handovers and cancellations, one after another. */
   static String random(long seed, int seconds) {
     Random random = new Random(seed);
-    StringBuilder day = new StringBuilder(setUp(seed));
+    StringBuilder lines = new StringBuilder(setUp(seed));
     double lastFault = seconds - 35;
-    day.append(
+    lines.append(
         String.format(
             Locale.ROOT, "at 4 every 0.5 until %.1f submit run-# tasks=2 run=5%n", lastFault));
     for (double at = 10; at < lastFault; at += 2.5 + random.nextDouble() * 5) {
       double span = 0.2 + random.nextDouble() * (random.nextBoolean() ? 2 : 9);
-      String one = "yurt-" + random.nextInt(3);
-      String act =
+      String controller = "yurt-" + random.nextInt(3);
+      String fault =
           switch (random.nextInt(8)) {
-            case 0 -> "crash " + one;
+            case 0 -> "crash " + controller;
             case 1 -> "crash-leader";
-            case 2 -> "freeze " + one;
+            case 2 -> "freeze " + controller;
             case 3, 4 -> "freeze-leader";
             case 5 -> "terminate leader";
-            case 6 -> "handover " + one;
+            case 6 -> "handover " + controller;
             default -> "cancel-now count=2";
           };
-      day.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, act, span));
+      lines.append(String.format(Locale.ROOT, "at %.2f %s for %.2f%n", at, fault, span));
     }
-    return day.append("run ").append(seconds).append("\n").toString();
+    return lines.append("run ").append(seconds).append("\n").toString();
   }
 
-  /** The leader's controller stands still for about as long as its lease lives, again and again. */
+  /** The leader's controller is paused repeatedly, each time for about as long as its lease. */
   static String pauses(long seed, int seconds) {
     Random random = new Random(seed);
-    StringBuilder day = new StringBuilder(setUp(seed));
+    StringBuilder lines = new StringBuilder(setUp(seed));
     double last = seconds - 30;
-    day.append(
+    lines.append(
         String.format(Locale.ROOT, "at 4 every 0.4 until %.1f submit run-# tasks=2 run=5%n", last));
     for (double at = 12; at < last; at += 10) {
       double span = 3.6 + random.nextDouble();
-      day.append(String.format(Locale.ROOT, "at %.2f freeze-leader for %.2f%n", at, span));
+      lines.append(String.format(Locale.ROOT, "at %.2f freeze-leader for %.2f%n", at, span));
     }
-    return day.append("run ").append(seconds).append("\n").toString();
+    return lines.append("run ").append(seconds).append("\n").toString();
   }
 
-  /** The leader's controller is killed again and again, and is back after 9 s. */
+  /** The leader's controller is killed repeatedly and restarted 9 s later. */
   static String kills(long seed, int count) {
     Random random = new Random(seed);
     double end = 15 + count * KILL_PERIOD_S;
-    StringBuilder day = new StringBuilder(setUp(seed));
-    day.append(
+    StringBuilder lines = new StringBuilder(setUp(seed));
+    lines.append(
         String.format(
             Locale.ROOT, "at 3 every 0.4 until %.1f submit run-# tasks=2 run=4 cpus=2%n", end));
     for (int i = 0; i < count; i++) {
       double at = 12 + i * KILL_PERIOD_S + random.nextDouble() * 2;
-      day.append(String.format(Locale.ROOT, "at %.2f crash-leader for 9%n", at));
+      lines.append(String.format(Locale.ROOT, "at %.2f crash-leader for 9%n", at));
     }
-    return day.append("run ").append((int) end + 15).append("\n").toString();
+    return lines.append("run ").append((int) end + 15).append("\n").toString();
   }
 
-  /** Plays a day with real processes; returns what was not as expected. */
+  /** Plays a scenario with real processes and returns its failures. */
   static List<String> play(Scenario scenario, List<String> command, Path logs)
       throws IOException, InterruptedException {
     Files.createDirectories(logs);
-    scenario.setUpWorld();
-    try (ProcessCluster cluster = new ProcessCluster(scenario.world(), command, logs)) {
-      scenario.begin();
-      cluster.runUntil(scenario.end());
+    scenario.setUpCluster();
+    try (ProcessCluster cluster = new ProcessCluster(scenario.cluster(), command, logs)) {
+      scenario.start();
+      cluster.runUntil(scenario.endMs());
     }
-    return scenario.judge();
+    return scenario.evaluate();
   }
 
-  /** Adds the failovers that followed each kill. */
-  static void measure(SimulatedCluster world, FailoverParts leader, FailoverParts partitions) {
-    for (long killedAt : world.crashes) {
+  /** Adds the failovers that began within half a period after each kill. */
+  static void measure(SimulatedCluster cluster, FailoverPhases leader, FailoverPhases partitions) {
+    for (long killedAt : cluster.leaderCrashTimes) {
       for (Map.Entry<String, FailoverProbe.Failover> entry :
-          world.probe.firstSince(killedAt).entrySet()) {
+          cluster.probe.firstSince(killedAt).entrySet()) {
         FailoverProbe.Failover failover = entry.getValue();
         boolean leads = entry.getKey().equals(FailoverProbe.LEADER);
-        boolean soon = failover.freedAt - killedAt < KILL_PERIOD_S * 500;
-        if (soon && (leads || failover.workers > 0)) {
+        boolean withinPeriod = failover.claimEndedAt - killedAt < KILL_PERIOD_S * 500;
+        if (withinPeriod && (leads || failover.workers > 0)) {
           (leads ? leader : partitions).add(failover, killedAt);
         }
       }
--- a/src/test/java/org/baygw/control/sim/ProcessesIT.java
+++ b/src/test/java/org/baygw/control/sim/ProcessesIT.java
@@ -13,22 +13,25 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The built jar on loopback: three controllers as processes that are killed (SIGKILL), paused
- * (SIGSTOP), asked to end (SIGTERM) and told to hand over, while users submit, poll and cancel. The
- * verdict rests on the rules and on every job's end, not on how long anything took.
+ * Runs the built jar on loopback: three controllers as processes that are killed (SIGKILL), paused
+ * (SIGSTOP), terminated (SIGTERM) and told to hand over, while users submit, poll and cancel.
+ * Checks the rules and every job's end, not how long anything took.
  */
 final class ProcessesIT {
   private static final int SECONDS = 95;
 
   @TempDir Path logs;
 
-  private Scenario play(String day, boolean standby) throws Exception {
-    Scenario scenario = Scenario.prepare(day);
-    assertEquals(List.of(), ProcessDays.play(scenario, ProcessDays.command(standby), logs), logs());
+  private Scenario play(String text, boolean standby) throws Exception {
+    Scenario scenario = Scenario.prepare(text);
+    assertEquals(
+        List.of(),
+        ProcessScenarios.play(scenario, ProcessScenarios.command(standby), logs),
+        logs());
     return scenario;
   }
 
-  /** The ends of the processes' logs, to find out why. */
+  /** The last lines of each process's log, shown when a check fails. */
   private String logs() throws Exception {
     StringBuilder all = new StringBuilder();
     for (String label : List.of("yurt-0", "yurt-1", "yurt-2")) {
@@ -43,8 +46,8 @@
 
   @Test
   void keepsTheRulesThroughKillsPausesAndHandovers() throws Exception {
-    Scenario scenario = play(ProcessDays.random(1, SECONDS), true);
-    Map<String, Long> done = scenario.world().checker.doneTold;
+    Scenario scenario = play(ProcessScenarios.random(1, SECONDS), true);
+    Map<String, Long> done = scenario.cluster().checker.doneToldAt;
     assertTrue(done.size() > 30, "only " + done.size() + " jobs are done");
     String log = logs();
     assertTrue(log.contains("RoleTable - role"), log);
@@ -52,13 +55,13 @@
   }
 
   @Test
-  void whereStandbyIsOffNoneOfItsClassesIsLoaded() throws Exception {
-    List<String> command = new ArrayList<>(ProcessDays.command(false));
+  void loadsNoStandbyClassesWhenStandbyIsOff() throws Exception {
+    List<String> command = new ArrayList<>(ProcessScenarios.command(false));
     command.add(1, "-Xlog:class+load:stderr");
     Scenario scenario =
         Scenario.prepare(
             "machines count=3\nat 3 submit run-1 tasks=2 run=2\nat 9 crash-leader for 1\nrun 22");
-    assertEquals(List.of(), ProcessDays.play(scenario, command, logs));
+    assertEquals(List.of(), ProcessScenarios.play(scenario, command, logs));
     for (String label : List.of("yurt-0", "yurt-1", "yurt-2")) {
       String log = Files.readString(logs.resolve(label + ".log"));
       assertTrue(log.contains("org.baygw.control.Controller "), label);
--- a/src/test/java/org/baygw/control/sim/SimulatedCluster.java
+++ b/src/test/java/org/baygw/control/sim/SimulatedCluster.java
@@ -20,7 +20,7 @@
 
 /**
  * A simulated deployment: clock, network, state service, cloud, workers and users around real
- * cores. Everything random comes from one seed, so a scenario always plays the same.
+ * controller cores. All randomness comes from one seed, so each scenario is reproducible.
  */
 final class SimulatedCluster {
   static final String STATE = "10.9.0.1:2379";
@@ -29,26 +29,27 @@
   static final long TIME_BOUND_MS = 100;
 
   /**
-   * For how long after its release is carried out a controller that waits for the answer is silent.
+   * Time after its claims are released during which a leaving controller, which still waits for the
+   * answer to the release, must send no orders.
    */
-  private static final long RELEASING_MS = 1_000;
+  private static final long RELEASE_WINDOW_MS = 1_000;
 
-  /** For how long after a freeze a process counts as just woken. */
-  private static final long WOKEN_MS = 300;
+  /** Time after a freeze during which a process counts as just resumed. */
+  private static final long RESUME_WINDOW_MS = 300;
 
   private record Event(long at, long order, Runnable action) {}
 
-  /** What happens to messages of one direction between two hosts. */
+  /** A fault of the messages from one host to another. */
   enum Cut {
-    /** Lost. */
+    /** Messages are lost. */
     DROP,
-    /** Kept, and delivered when the cut ends. */
+    /** Messages are held back and delivered when the cut ends. */
     HOLD,
-    /** Requests arrive, their answers do not. */
+    /** Requests arrive, but their answers are lost. */
     LOSE_ANSWERS
   }
 
-  private record CutState(Cut kind, long until) {}
+  private record ActiveCut(Cut kind, long untilMs) {}
 
   final Random random;
   final List<String> zones;
@@ -61,27 +62,30 @@
   final List<String> labels = new ArrayList<>();
   final Map<String, Node> nodes = new TreeMap<>();
   final List<Settings.Team> teams;
-  private final Map<String, CutState> cuts = new HashMap<>();
+  private final Map<String, ActiveCut> cuts = new HashMap<>();
 
-  /** Workers whose reports are delivered once more, so much later, until then. */
-  private final Map<String, long[]> copies = new HashMap<>();
+  /**
+   * By worker whose reports are delivered twice: delay of the second delivery (0 for a random one)
+   * and time at which the fault ends, in ms.
+   */
+  private final Map<String, long[]> duplicateReports = new HashMap<>();
 
-  /** Until when workers' reports reach no controller, while direct commands are answered. */
-  private final Map<String, Long> mute = new HashMap<>();
+  /** By worker: time until which its reports reach no controller; it still answers commands. */
+  private final Map<String, Long> mutedUntil = new HashMap<>();
 
-  /** Orders that controllers sent just after their claims were released. */
+  /** Number of orders that controllers sent just after their claims were released. */
   int ordersAfterRelease;
 
-  /** Orders that woken processes sent after others had replaced them. */
+  /** Number of orders that resumed processes sent after others had replaced them. */
   int staleOrders;
 
-  /** When scenarios ended the leader's controller. */
-  final List<Long> crashes = new ArrayList<>();
+  /** Times at which the scenario crashed the leader's controller. */
+  final List<Long> leaderCrashTimes = new ArrayList<>();
 
-  /** When a scenario last ended the leader's controller. */
+  /** Time at which the scenario last crashed the leader's controller or terminated any. */
   long lastCrashAt;
 
-  /** Which optional subsystems controllers run with. */
+  /** Optional subsystems that controllers run with. */
   Features features = Features.NONE;
 
   long leaseMs = 10_000;
@@ -97,63 +101,63 @@
   private long order;
   private long now;
 
-  /** Controllers that run as processes of their own, in place of cores in this one. */
-  interface Remote {
+  /** Controllers that run as separate processes instead of as cores in this process. */
+  interface RemoteControllers {
     void start(String label);
 
     void kill(String label);
 
-    /** Stops a process, which goes on after some time. */
+    /** Pauses a process and resumes it after the given time. */
     void pause(String label, long forMs);
 
-    /** Asks a process to end. */
+    /** Asks a process to shut down. */
     void terminate(String label);
 
-    boolean lives(String label);
+    boolean isAlive(String label);
 
-    /** Sends a request; a connection that is refused is answered with {@link Outbox#NOT_SENT}. */
+    /** Sends a request; a refused connection is answered with {@link Outbox#NOT_SENT}. */
     void send(
         String label,
         boolean peer,
         String method,
         String path,
         byte[] body,
-        StateServiceStub.Respond respond);
+        StateServiceStub.ResponseCallback respond);
 
-    /** Where a worker listens. */
+    /** The address at which a worker listens. */
     String address(String worker);
   }
 
-  /** Null where the controllers' cores run here. */
-  Remote remote;
+  /** Null if the controllers' cores run in this process. */
+  RemoteControllers remote;
 
-  /** One controller: its core, replaced at every restart. */
+  /** One controller; its core is replaced at every restart. */
   final class Node {
     final String label;
     final String zone;
 
-    /** How far this controller's time of day is from the true one. */
-    private final long wallErrorMs;
+    /** Offset of this controller's wall clock from the true time, in ms. */
+    private final long wallClockOffsetMs;
 
     Controller core;
-    int life;
+    int incarnation;
     private long frozenUntil;
     private long freezeBeforeOrdersMs;
-    private long awakeAt = Long.MIN_VALUE;
-    private boolean stepDue;
+    private long resumedAt = Long.MIN_VALUE;
+    private boolean stepScheduled;
     private long lastStep;
     private Settings settings;
     private long requests;
-    private final Map<Long, StateServiceStub.Respond> pending = new HashMap<>();
+    private final Map<Long, StateServiceStub.ResponseCallback> pending = new HashMap<>();
 
-    Node(String label, String zone, long wallErrorMs) {
-      this.wallErrorMs = wallErrorMs;
+    Node(String label, String zone, long wallClockOffsetMs) {
+      this.wallClockOffsetMs = wallClockOffsetMs;
       this.label = label;
       this.zone = zone;
     }
 
-    boolean lives() {
-      return remote == null ? core != null : remote.lives(label);
+    boolean isAlive() {
+      return remote == null ? core != null : remote.isAlive(label);
     }
 
     void start() {
@@ -161,50 +165,51 @@
         remote.start(label);
         return;
       }
-      life++;
+      incarnation++;
       frozenUntil = 0;
       freezeBeforeOrdersMs = 0;
-      stepDue = false;
+      stepScheduled = false;
       pending.clear();
       settings = settingsOf(this);
       core = new Controller(settings, features);
-      int mine = life;
-      ticks(mine);
+      int startedAs = incarnation;
+      scheduleTick(startedAs);
     }
 
-    /** Like the event loop's: a step is taken where none was for a while. */
-    private void ticks(int mine) {
+    /** Like the event loop, takes a step when none was taken for a tick period. */
+    private void scheduleTick(int startedAs) {
       long left = lastStep + settings.tickMs() - now;
       after(
           Math.max(1, left),
           () ->
-              whenAwake(
-                  mine,
+              whenNotFrozen(
+                  startedAs,
                   () -> {
                     if (now - lastStep >= settings.tickMs()) {
                       step();
                     }
-                    ticks(mine);
+                    scheduleTick(startedAs);
                   }));
     }
 
     private void step() {
-      stepDue = false;
+      stepScheduled = false;
       lastStep = now;
-      carryOut(work.measure("tick", () -> core.tick(now, wall())), now);
+      execute(work.measure("tick", () -> core.tick(now, wallClock())), now);
     }
 
-    /** One step follows all outcomes that come at the same time. */
-    private void stepSoon() {
-      if (!stepDue) {
-        stepDue = true;
-        int mine = life;
-        after(0, () -> whenAwake(mine, this::step));
+    /** Schedules a single step after all outcomes that arrive at the same time. */
+    private void scheduleStep() {
+      if (!stepScheduled) {
+        stepScheduled = true;
+        int startedAs = incarnation;
+        after(0, () -> whenNotFrozen(startedAs, this::step));
       }
     }
 
     /**
-     * The process stands still while its clocks run on; what comes meanwhile is handled after it.
+     * Freezes the process while its clocks run on; input that arrives meanwhile is handled
+     * afterwards.
      */
     void freeze(long forMs) {
       if (remote != null) {
@@ -212,18 +217,18 @@
         return;
       }
       frozenUntil = now + forMs;
-      awakeAt = frozenUntil;
+      resumedAt = frozenUntil;
     }
 
     /**
-     * The process stands still between deciding and sending, the next time that it has decided on
-     * orders to workers.
+     * Freezes the process between deciding and sending, the next time that it has decided on orders
+     * to workers.
      */
     void freezeBeforeOrders(long forMs) {
       freezeBeforeOrdersMs = forMs;
     }
 
-    /** The process is asked to end, hands its roles over and is gone. */
+    /** Asks the process to shut down: it hands its roles over and ends. */
     void terminate() {
       if (remote != null) {
         remote.terminate(label);
@@ -233,44 +238,44 @@
         return;
       }
       core.beginShutdown();
-      awaitEnd(life, now + Constants.HANDOVER_TIMEOUT_MS);
+      awaitTermination(incarnation, now + Constants.HANDOVER_TIMEOUT_MS);
     }
 
-    private void awaitEnd(int mine, long until) {
-      if (core == null || life != mine) {
+    private void awaitTermination(int startedAs, long deadline) {
+      if (core == null || incarnation != startedAs) {
         return;
       }
-      if (core.readyToStop() || now >= until) {
+      if (core.readyToStop() || now >= deadline) {
         crash();
       } else {
-        after(Constants.TICK_MS, () -> awaitEnd(mine, until));
+        after(Constants.TICK_MS, () -> awaitTermination(startedAs, deadline));
       }
     }
 
-    private void whenAwake(int mine, Runnable action) {
-      if (core == null || life != mine) {
+    private void whenNotFrozen(int startedAs, Runnable action) {
+      if (core == null || incarnation != startedAs) {
         return;
       }
       if (now < frozenUntil) {
-        after(frozenUntil - now, () -> whenAwake(mine, action));
+        after(frozenUntil - now, () -> whenNotFrozen(startedAs, action));
       } else {
         action.run();
       }
     }
 
-    private long wall() {
-      return now + wallErrorMs;
+    private long wallClock() {
+      return now + wallClockOffsetMs;
     }
 
-    /** What the administration API tells of warm standby now. */
-    JsonNode standbyPage() {
+    /** Returns the present warm standby status from the administration API. */
+    JsonNode standbyStatus() {
       for (Outbox.Effect effect :
-          core.peerRequest(now, wall(), ++requests, "GET", "/admin/v1/standby", new byte[0])) {
+          core.peerRequest(now, wallClock(), ++requests, "GET", "/admin/v1/standby", new byte[0])) {
         if (effect instanceof Outbox.Answer answer) {
           return Json.parse(answer.body());
         }
       }
-      throw new IllegalStateException("no answer about warm standby");
+      throw new IllegalStateException("the request for the warm standby status was not answered");
     }
 
     void crash() {
@@ -279,97 +284,104 @@
         return;
       }
       core = null;
-      life++;
+      incarnation++;
     }
 
     void receive(
-        boolean peer, String method, String path, byte[] body, StateServiceStub.Respond respond) {
+        boolean peer,
+        String method,
+        String path,
+        byte[] body,
+        StateServiceStub.ResponseCallback respond) {
       long id = ++requests;
       pending.put(id, respond);
-      whenAwake(
-          life,
+      whenNotFrozen(
+          incarnation,
           () ->
-              carryOut(
+              execute(
                   work.measure(
                       WorkMeter.kind("", path),
                       () ->
                           peer
-                              ? core.peerRequest(now, wall(), id, method, path, body)
-                              : core.request(now, wall(), id, method, path, body)),
+                              ? core.peerRequest(now, wallClock(), id, method, path, body)
+                              : core.request(now, wallClock(), id, method, path, body)),
                   now));
     }
 
-    private void carryOut(List<Outbox.Effect> effects, long decidedAt) {
-      if (freezeBeforeOrdersMs > 0 && effects.stream().anyMatch(Node::orders)) {
+    private void execute(List<Outbox.Effect> effects, long decidedAt) {
+      if (freezeBeforeOrdersMs > 0 && effects.stream().anyMatch(Node::containsOrders)) {
         freeze(freezeBeforeOrdersMs);
         freezeBeforeOrdersMs = 0;
-        whenAwake(life, () -> carryOut(effects, decidedAt));
+        whenNotFrozen(incarnation, () -> execute(effects, decidedAt));
         return;
       }
       for (Outbox.Effect effect : effects) {
-        boolean withheld = orders(effect) && core.withholdsOrders(decidedAt, now);
-        if (orders(effect) && !withheld) {
-          noteOrders(effect);
+        boolean withheld = containsOrders(effect) && core.withholdsOrders(decidedAt, now);
+        if (containsOrders(effect) && !withheld) {
+          countMisplacedOrders(effect);
         }
         if (effect instanceof Outbox.Answer answer) {
           respond(withheld ? Outbox.Answer.withheld(answer.requestId()) : answer);
         } else if (effect instanceof Outbox.Call call && withheld) {
-          int mine = life;
-          after(0, () -> finish(mine, call, Outbox.NOT_SENT, new byte[0]));
+          int startedAs = incarnation;
+          after(0, () -> finish(startedAs, call, Outbox.NOT_SENT, new byte[0]));
         } else if (effect instanceof Outbox.Call call) {
           send(call);
         }
       }
     }
 
-    private static boolean orders(Outbox.Effect effect) {
+    private static boolean containsOrders(Outbox.Effect effect) {
       return effect instanceof Outbox.Answer answer && answer.carriesOrders()
           || effect instanceof Outbox.Call call && call.carriesOrders();
     }
 
-    /** Counts orders that a process which has just woken sends after others have replaced it. */
-    private void noteOrders(Outbox.Effect effect) {
-      boolean woken = now >= awakeAt && now - awakeAt <= WOKEN_MS;
-      if (woken && !state.holds(label)) {
+    /**
+     * Counts orders that a process sends just after it has resumed and others have replaced it, or
+     * just after its claims were released.
+     */
+    private void countMisplacedOrders(Outbox.Effect effect) {
+      boolean justResumed = now >= resumedAt && now - resumedAt <= RESUME_WINDOW_MS;
+      if (justResumed && !state.ownsPartition(label)) {
         staleOrders++;
       }
       JsonNode member = state.value("b/member/" + label);
       boolean leaving = member != null && member.path("leaving").asBoolean();
-      long releasedAt = probe.lastFreedOf(label);
-      if (leaving && !state.holds(label) && now - releasedAt < RELEASING_MS) {
+      long releasedAt = probe.lastClaimEndOf(label);
+      if (leaving && !state.ownsPartition(label) && now - releasedAt < RELEASE_WINDOW_MS) {
         ordersAfterRelease++;
       }
     }
 
     private void respond(Outbox.Answer answer) {
-      StateServiceStub.Respond respond = pending.remove(answer.requestId());
+      StateServiceStub.ResponseCallback respond = pending.remove(answer.requestId());
       if (respond != null) {
         respond.done(answer.status(), answer.body());
       }
     }
 
-    private void send(Outbox.Call c) {
-      int mine = life;
+    private void send(Outbox.Call call) {
+      int startedAs = incarnation;
       call(
           label,
-          c.addr(),
-          c.method(),
-          c.path(),
-          c.body(),
-          c.timeoutMs(),
-          (status, body) -> finish(mine, c, status, body));
+          call.addr(),
+          call.method(),
+          call.path(),
+          call.body(),
+          call.timeoutMs(),
+          (status, body) -> finish(startedAs, call, status, body));
     }
 
-    private void finish(int mine, Outbox.Call c, int status, byte[] body) {
-      whenAwake(
-          mine,
+    private void finish(int startedAs, Outbox.Call call, int status, byte[] body) {
+      whenNotFrozen(
+          startedAs,
           () -> {
-            carryOut(
+            execute(
                 work.measure(
-                    WorkMeter.kind(c.addr(), c.path()),
-                    () -> core.outcome(now, wall(), c.callback(), status, body)),
+                    WorkMeter.kind(call.addr(), call.path()),
+                    () -> core.outcome(now, wallClock(), call.callback(), status, body)),
                 now);
-            stepSoon();
+            scheduleStep();
           });
     }
   }
@@ -385,18 +397,18 @@
     }
   }
 
-  Settings settingsOf(Node n) {
+  Settings settingsOf(Node node) {
     List<Settings.Peer> peers = new ArrayList<>();
-    for (Node o : nodes.values()) {
-      if (o != n) {
-        peers.add(new Settings.Peer(o.label, o.zone, o.label + ":8081"));
+    for (Node other : nodes.values()) {
+      if (other != node) {
+        peers.add(new Settings.Peer(other.label, other.zone, other.label + ":8081"));
       }
     }
     return new Settings(
-        n.label,
-        n.zone,
-        new Settings.Endpoint(n.label, 8080),
-        new Settings.Endpoint(n.label, 8081),
+        node.label,
+        node.zone,
+        new Settings.Endpoint(node.label, 8080),
+        new Settings.Endpoint(node.label, 8081),
         peers,
         CLOUD,
         STATE,
@@ -414,39 +426,39 @@
     return now;
   }
 
-  /** When the next event is due. */
-  long nextEvent() {
+  /** Time at which the next event is due; {@code Long.MAX_VALUE} if there is none. */
+  long nextEventAt() {
     return events.isEmpty() ? Long.MAX_VALUE : events.peek().at();
   }
 
-  void after(long ms, Runnable action) {
-    events.add(new Event(now + Math.max(0, ms), order++, action));
+  void after(long delayMs, Runnable action) {
+    events.add(new Event(now + Math.max(0, delayMs), order++, action));
   }
 
-  void runUntil(long ms) {
-    while (!events.isEmpty() && events.peek().at() <= ms) {
-      Event e = events.poll();
-      now = e.at();
-      e.action().run();
+  void runUntil(long untilMs) {
+    while (!events.isEmpty() && events.peek().at() <= untilMs) {
+      Event event = events.poll();
+      now = event.at();
+      event.action().run();
     }
-    now = ms;
+    now = untilMs;
   }
 
-  void cut(String a, String b, Cut kind, long forMs) {
-    cuts.put(a + ">" + b, new CutState(kind, now + forMs));
+  void cut(String from, String to, Cut kind, long forMs) {
+    cuts.put(from + ">" + to, new ActiveCut(kind, now + forMs));
   }
 
-  void copies(String from, long lateMs, long forMs) {
-    copies.put(from, new long[] {lateMs, now + forMs});
+  void duplicateReports(String from, long delayMs, long forMs) {
+    duplicateReports.put(from, new long[] {delayMs, now + forMs});
   }
 
   void mute(String worker, long forMs) {
-    mute.put(worker, now + forMs);
+    mutedUntil.put(worker, now + forMs);
   }
 
-  private CutState cutOf(String a, String b) {
-    CutState c = cuts.get(a + ">" + b);
-    return c == null || c.until() <= now ? null : c;
+  private ActiveCut cutOf(String from, String to) {
+    ActiveCut activeCut = cuts.get(from + ">" + to);
+    return activeCut == null || activeCut.untilMs() <= now ? null : activeCut;
   }
 
   private static String host(String addr) {
@@ -463,7 +475,7 @@
     return 1 + random.nextInt(4);
   }
 
-  /** One request over the network, with all that may become of it. */
+  /** Sends one request over the network, subject to its latency, faults and the timeout. */
   void call(
       String from,
       String addr,
@@ -471,36 +483,41 @@
       String path,
       byte[] body,
       long timeoutMs,
-      Outbox.Callback then) {
+      Outbox.Callback callback) {
     String to = host(addr);
-    boolean[] over = {false};
-    Outbox.Callback once =
+    boolean[] completed = {false};
+    Outbox.Callback completeOnce =
         (status, answer) -> {
-          if (!over[0]) {
-            over[0] = true;
-            then.done(status, answer);
+          if (!completed[0]) {
+            completed[0] = true;
+            callback.done(status, answer);
           }
         };
-    after(timeoutMs, () -> once.done(Outbox.NO_ANSWER, new byte[0]));
-    if (now < mute.getOrDefault(from, 0L)) {
-      after(latency(), () -> once.done(Outbox.NOT_SENT, new byte[0]));
+    after(timeoutMs, () -> completeOnce.done(Outbox.NO_ANSWER, new byte[0]));
+    if (now < mutedUntil.getOrDefault(from, 0L)) {
+      after(latency(), () -> completeOnce.done(Outbox.NOT_SENT, new byte[0]));
       return;
     }
-    long[] copy = path.equals("/checkin") ? copies.get(from) : null;
-    if (copy != null && now < copy[1]) {
-      long late = copy[0] > 0 ? copy[0] : 2_000 + random.nextInt((int) (2 * leaseMs));
-      after(late, () -> arrive(from, to, false, method, path, body, (status, answer) -> {}));
+    long[] duplication = path.equals("/checkin") ? duplicateReports.get(from) : null;
+    if (duplication != null && now < duplication[1]) {
+      long duplicateDelay =
+          duplication[0] > 0 ? duplication[0] : 2_000 + random.nextInt((int) (2 * leaseMs));
+      after(
+          duplicateDelay,
+          () -> deliver(from, to, false, method, path, body, (status, answer) -> {}));
     }
-    CutState there = cutOf(from, to);
-    if (there != null && there.kind() == Cut.DROP) {
+    ActiveCut requestCut = cutOf(from, to);
+    if (requestCut != null && requestCut.kind() == Cut.DROP) {
       return;
     }
     long delay =
-        there != null && there.kind() == Cut.HOLD ? there.until() - now + latency() : latency();
+        requestCut != null && requestCut.kind() == Cut.HOLD
+            ? requestCut.untilMs() - now + latency()
+            : latency();
     after(
         delay,
         () ->
-            arrive(
+            deliver(
                 from,
                 to,
                 addr.endsWith(":8081"),
@@ -508,27 +525,29 @@
                 path,
                 body,
                 (status, answer) -> {
-                  CutState back = cutOf(to, from);
-                  boolean lost = back != null || there != null && there.kind() == Cut.LOSE_ANSWERS;
+                  ActiveCut answerCut = cutOf(to, from);
+                  boolean lost =
+                      answerCut != null
+                          || requestCut != null && requestCut.kind() == Cut.LOSE_ANSWERS;
                   if (!lost) {
-                    after(latency(), () -> once.done(status, answer));
+                    after(latency(), () -> completeOnce.done(status, answer));
                   }
                 }));
   }
 
-  private void arrive(
+  private void deliver(
       String from,
       String to,
       boolean peer,
       String method,
       String path,
       byte[] body,
-      StateServiceStub.Respond respond) {
-    JsonNode n = peer || body == null || body.length == 0 ? Json.object() : Json.parse(body);
+      StateServiceStub.ResponseCallback respond) {
+    JsonNode request = peer || body == null || body.length == 0 ? Json.object() : Json.parse(body);
     if (to.equals("state")) {
-      state.handle(from, method, path, n, respond);
+      state.handle(from, method, path, request, respond);
     } else if (to.equals("cloud")) {
-      cloud.handle(method, path, n, respond);
+      cloud.handle(method, path, request, respond);
     } else if (nodes.containsKey(to)) {
       Node node = nodes.get(to);
       if (remote != null) {
@@ -539,27 +558,27 @@
         node.receive(peer, method, path, body == null ? new byte[0] : body, respond);
       }
     } else if (workers.containsKey(to)) {
-      workers.get(to).handle(from, method, path, n, respond);
+      workers.get(to).handle(from, method, path, request, respond);
     }
   }
 
-  /** Where a worker listens. */
+  /** The address at which a worker listens. */
   String address(String worker) {
     return remote == null ? worker + ":9000" : remote.address(worker);
   }
 
-  /** A request of a controller that runs as a process of its own. */
+  /** Delivers a request of a controller that runs as a separate process. */
   void receive(
       String from,
       String to,
       String method,
       String path,
       byte[] body,
-      StateServiceStub.Respond respond) {
-    arrive(from, to, false, method, path, body, respond);
+      StateServiceStub.ResponseCallback respond) {
+    deliver(from, to, false, method, path, body, respond);
   }
 
-  /** The partition of a worker's machine, by the durable number of partitions. */
+  /** The partition of a worker's machine, by the number of partitions in the state service. */
   String partitionOf(WorkerStub worker) {
     JsonNode layout = state.value("b/layout");
     int perZone = layout == null ? 1 : layout.path("partitions_per_zone").asInt();
@@ -567,15 +586,15 @@
   }
 
   Set<String> liveLabels() {
-    Set<String> out = new HashSet<>();
+    Set<String> live = new HashSet<>();
     nodes
         .values()
         .forEach(
             n -> {
-              if (n.lives()) {
-                out.add(n.label);
+              if (n.isAlive()) {
+                live.add(n.label);
               }
             });
-    return out;
+    return live;
   }
 }
