--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -1,6 +1,9 @@
 package org.baygw.control;
 
-/** Fixed numbers of the service, each with its unit and, where needed, its reason. */
+/**
+ * Fixed numbers of the service. The unit of each stands in its name or else in its comment: MS are
+ * milliseconds, S seconds, shares fractions of 1.
+ */
 public final class Constants {
   /**
    * Partitions per controller in a new deployment, over all zones: with two, the partitions of a
@@ -68,19 +71,19 @@
   public static final int CACHED_ASSIGNMENTS = 24;
 
   /**
-   * Minimum ms between two writes of a partition's record while tokens are scarce: changes in
-   * between share a write.
+   * Minimum interval between writes of a partition's record while write tokens are scarce: changes
+   * in between share a write.
    */
   public static final long RECORD_WRITE_INTERVAL_MS = 400;
 
   /**
-   * ms added to that interval for each further page: a write takes an operation for each page, and
-   * grants need some too.
+   * Time added to that interval for each further page: a write takes an operation for each page,
+   * and grants need some too.
    */
   public static final long RECORD_WRITE_INTERVAL_PER_PAGE_MS = 40;
 
   /**
-   * ms between attempts to place tasks that fit on no machine, while nothing else needs a write.
+   * Interval between attempts to place tasks that fit nowhere, while nothing else needs a write.
    */
   public static final long PLACEMENT_RETRY_MS = 100;
 
@@ -112,13 +115,13 @@
   public static final long TICK_MAX_MS = 150;
 
   /**
-   * ms. Term of a membership lease: survives two lost renewals and a slow answer, yet a crash is
+   * Term of a membership lease: survives two lost renewals and a slow answer, yet a crash is
    * detected soon.
    */
   public static final long MEMBERSHIP_LEASE_MS = 5_000;
 
   /**
-   * ms for which a planned handover waits for standbys to catch up: enough for a batch and its
+   * Time for which a planned handover waits for standbys to catch up: enough for a batch and its
    * answer. Standbys take over without the decisions that have not arrived by then.
    */
   public static final long HANDOVER_FLUSH_MS = 1_500;
@@ -129,12 +132,10 @@
   /** Bytes of updates in one message to a standby; the whole message must fit a request body. */
   public static final int REPLICATION_MESSAGE_BYTES = 40 * 1024;
 
-  /**
-   * ms within which a standby must answer a replication message, else the message counts as lost.
-   */
+  /** Time for a standby's answer to a replication message, which counts as lost after it. */
   public static final int REPLICATION_TIMEOUT_MS = 2_000;
 
-  /** ms between updates of which controller is active and which is standby for each role. */
+  /** Interval between updates of which controller is active and which is standby for each role. */
   public static final long ROLE_UPDATE_MS = 200;
 
   /**
@@ -143,42 +144,40 @@
    */
   public static final int TOKEN_ANNOUNCEMENTS_PER_TICK = 24;
 
-  /** ms between renewals of the membership lease: allows three attempts within its term. */
+  /** Interval between renewals of the membership lease: allows three attempts within its term. */
   public static final long MEMBERSHIP_RENEWAL_MS = 1_500;
 
-  /**
-   * ms a controller must have been a member before partitions are handed to it, against flapping.
-   */
+  /** Time as a member before a controller is given partitions, against flapping. */
   public static final long MEMBER_STABLE_MS = 1_000;
 
   /**
-   * ms after joining during which controllers that have not joined yet count as members: when all
+   * Time after joining for which controllers that have not joined yet count as members: when all
    * restart together they join within it.
    */
   public static final long JOIN_GRACE_MS = 1_000;
 
-  /** ms between checks of the assignment of roles. */
+  /** Interval between checks of the assignment of roles. */
   public static final long CLAIM_CHECK_MS = 100;
 
-  /** ms before a failed write of claims is retried: another controller may be writing the same. */
+  /** Wait before a failed write of claims is retried: another controller may write the same. */
   public static final long CLAIM_RETRY_MS = 300;
 
   /**
-   * ms without a leader after which the choice of the next one ignores the former leader's zone:
+   * Time without a leader after which the choice of the next one ignores the former leader's zone:
    * time for the preferred controller to claim the role and retry once.
    */
   public static final long LEADERLESS_MS = 600;
 
-  /** ms between statuses sent to the other controllers. */
+  /** Interval between statuses sent to the other controllers. */
   public static final long PEER_STATUS_MS = 3_000;
 
   /**
-   * ms between the state service's last answers to two controllers above which it is considered to
-   * refuse only the one that was answered earlier.
+   * Time between the state service's last answers to two controllers above which only the one that
+   * was answered earlier is considered cut off from it.
    */
   public static final long STATE_ISOLATION_MS = 5_000;
 
-  /** Minimum ms between statuses, so that cancellations in quick succession share one. */
+  /** Minimum interval between statuses, so that cancellations in quick succession share one. */
   public static final long PEER_STATUS_MIN_GAP_MS = 200;
 
   /**
@@ -201,8 +200,8 @@
   public static final long WATERMARK_PERIOD_MIN_MS = 250;
 
   /**
-   * ms for which knowledge of cancellations is recent enough to renew leases, below which ordinary
-   * delays let leases expire: a watch and two lost answers take as long.
+   * If the watermark's greatest age is set below this, ordinary delays let leases expire: a watch
+   * and two lost answers take as long.
    */
   public static final long WATERMARK_WARN_MS = 8_000;
 
@@ -289,9 +288,7 @@
   /** Size limit of a request body (protocol). */
   public static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /**
-   * ms for a worker's answer to direct orders; after it, their outcome is known from its reports.
-   */
+  /** Time for a worker's answer to direct orders; after it, its reports show their outcome. */
   public static final int ORDERS_TIMEOUT_MS = 2_500;
 
   /** Bits of a fencing token below the claim's stamp, which count increments within one claim. */
@@ -300,7 +297,7 @@
   /** Relative drift between two machines' clocks: 0.05% each (protocol), doubled for safety. */
   public static final double CLOCK_DRIFT = 0.002;
 
-  /** ms added to a lease before it counts as expired. */
+  /** Time added to a lease before it counts as expired. */
   public static final long LEASE_MARGIN_MS = 500;
 
   /**
@@ -310,7 +307,8 @@
   public static final int MISSED_RESPONSES = 3;
 
   /**
-   * Leases within which these signs add up: without responses a worker's session ends once a lease.
+   * Lease terms within which these signs add up: without responses a worker's session ends once a
+   * term.
    */
   public static final int MISSED_RESPONSE_LEASES = 3;
 
@@ -327,7 +325,7 @@
   public static final double PROBE_AFTER_REPORTS = 1.4;
 
   /**
-   * Report periods of silence after which a machine that did not answer a probe is given up and
+   * Report periods of silence after which a machine that answered no probe is given up and
    * returned.
    */
   public static final double LOST_REPORTS = 1.9;
@@ -339,10 +337,7 @@
    */
   public static final double CUT_OFF_REPORTS = 1.5;
 
-  /**
-   * Report periods within which another worker must have been heard from for one to count as
-   * silent.
-   */
+  /** Report periods within which another worker must have reported for one to count as silent. */
   public static final double CONCLUSIVE_SILENCE_REPORTS = 0.5;
 
   /**
@@ -352,8 +347,8 @@
   public static final int CUT_OFF_MIN_MACHINES = 5;
 
   /**
-   * ms after a takeover before workers are probed: most report by themselves, and a probe renews no
-   * lease.
+   * Time after a takeover before workers are probed: most report by themselves, and a probe renews
+   * no lease.
    */
   public static final long PROBE_AFTER_TAKEOVER_MS = 1_000;
 
@@ -366,13 +361,13 @@
    */
   public static final double RECENTLY_HEARD_REPORTS = 2;
 
-  /** ms for which a worker is remembered that reports before its machine is on record. */
+  /** Time for which a worker is remembered that reports before its machine is on record. */
   public static final long UNREGISTERED_MS = 10_000;
 
   /** Factor on the saving time that a stopped task is given, since machines differ in speed. */
   public static final double GRACE_SAVE_FACTOR = 2;
 
-  /** s added to the saving time of a stopped task, for tasks that save at once. */
+  /** Time added to the saving time of a stopped task, for tasks that save at once. */
   public static final double GRACE_S = 1;
 
   /**
@@ -382,7 +377,7 @@
    */
   public static final double NOTICE_SLACK = 1.0;
 
-  /** ms for a worker's answer to a probe. */
+  /** Time for a worker's answer to a probe. */
   public static final int PROBE_TIMEOUT_MS = 1_500;
 
   /**
@@ -391,16 +386,10 @@
    */
   public static final long STALL_MS = 400;
 
-  /**
-   * Share of silent machines in a zone above which a network outage is assumed instead of machine
-   * failures.
-   */
+  /** Share of silent machines in a zone above which a network outage is assumed, not failures. */
   public static final double OUTAGE_SILENT_SHARE = 0.4;
 
-  /**
-   * Report periods for which a silent machine is always kept, to see whether others fall silent
-   * too.
-   */
+  /** Report periods for which a silent machine is always kept, to see if others fall silent too. */
   public static final double SILENT_MIN_REPORTS = 0.5;
 
   /**
@@ -410,8 +399,8 @@
   public static final double SILENT_AFTER_OUTAGE_REPORTS = 2;
 
   /**
-   * ms for which silent machines are kept during a zone outage: outages end, and replacements would
-   * have to boot first.
+   * Time for which silent machines are kept during a zone outage: outages end, and replacements
+   * would have to boot first.
    */
   public static final long SILENT_OUTAGE_MS = 60_000;
 
@@ -441,86 +430,84 @@
   public static final double CANCELLATION_OWNERLESS_SHARE = 0.6;
 
   /**
-   * Share of that time after which any controller with a current copy returns such a machine,
-   * whoever owns it: the remaining time is enough for a few attempts.
+   * Share of that time after which any controller with an up-to-date state cache returns such a
+   * machine, whoever owns it: the remaining time is enough for a few attempts.
    */
   public static final double CANCELLATION_ANY_CONTROLLER_SHARE = 0.8;
 
   /**
-   * ms that a granted task may wait in a partition with no fitting machine before it returns to the
-   * queue.
+   * Time that a granted task may wait in a partition with no fitting machine before it returns to
+   * the queue.
    */
   public static final long UNGRANT_MS = 4_000;
 
   /**
-   * ms for which a partition that returned a job's tasks unplaced gets more of them only if no
+   * Time for which a partition that returned a job's tasks unplaced gets more of them only if no
    * other has capacity.
    */
   public static final long PARTITION_AVOID_MS = 20_000;
 
-  /** ms between checks of an owner's machines for silence; changed machines are checked at once. */
+  /**
+   * Interval between checks of an owner's machines for silence; changed ones are checked at once.
+   */
   public static final long MACHINE_CHECK_MS = 300;
 
-  /** ms between checks of all tasks of all its machines, to find what no change has shown. */
+  /** Interval between checks of all tasks of all its machines, to find what no change showed. */
   public static final long MACHINE_FULL_CHECK_MS = 1_500;
 
-  /** ms between the leader's passes over the queue. */
+  /** Interval between the leader's passes over the queue. */
   public static final long SCHEDULER_PASS_MS = 100;
 
-  /** ms added between passes while nothing has changed, since only waiting times grow then. */
+  /** Time added between passes while nothing has changed, since only waiting times grow then. */
   public static final long SCHEDULER_IDLE_PASS_MS = 1_000;
 
   /**
-   * ms added between passes for each machine: a pass examines every machine, and passes must not
+   * Time added between passes for each machine: a pass examines every machine, and passes must not
    * take most of a processor.
    */
   public static final double SCHEDULER_PASS_MS_PER_MACHINE = 0.2;
 
-  /**
-   * ms between passes while write tokens are scarce, so that a grant covers more tasks of a job.
-   */
+  /** Interval between passes while write tokens are scarce, so that grants cover more of a job. */
   public static final long SCHEDULER_SCARCE_PASS_MS = 400;
 
   /**
-   * ms for which tasks without capacity keep their share of the team's limit: about the boot time
+   * Time for which tasks without capacity keep their share of the team's limit: about the boot time
    * of the machines rented for them. After that the cloud may have no such machines, and other
    * tasks of the team for which there is capacity must not wait behind them.
    */
   public static final long LIMIT_RESERVED_MS = 60_000;
 
-  /** ms between removals of ended grants from the leader's memory. */
+  /** Interval between removals of ended grants from the leader's memory. */
   public static final long SCHEDULER_CLEANUP_MS = 10_000;
 
-  /**
-   * Failed tasks on a machine, with no completed one in between, from which it may count as sick.
-   */
+  /** Failed tasks on a machine, with none completed in between, from which it may count as sick. */
   public static final int SICK_ERRORS = 3;
 
-  /** ms. Base of a job's backoff after errors of its tasks; doubles up to ERROR_BACKOFF_MAX_MS. */
+  /** First backoff of a job after errors of its tasks; doubles up to ERROR_BACKOFF_MAX_MS. */
   public static final long ERROR_BACKOFF_MS = 1_000;
 
-  /** ms. Longest backoff of a failing job; also for how long it is not retried on a machine. */
+  /** Longest backoff of a failing job; also for how long it is not retried on a machine. */
   public static final long ERROR_BACKOFF_MAX_MS = 60_000;
 
   /** Multiple of the cloud list's lag for which a rented machine may be missing from the list. */
   public static final double UNLISTED_LIST_LAGS = 4;
 
-  /** ms between two checks of which machines to rent or return: a boot takes seconds. */
+  /** Interval between checks of which machines to rent or return: a boot takes seconds. */
   public static final long FLEET_INTERVAL_MS = 250;
 
-  /** ms between two reads of the cloud's machine list. */
+  /** Interval between reads of the cloud's machine list. */
   public static final long CLOUD_LIST_INTERVAL_MS = 2_500;
 
-  /** ms between two reads of the machine types, which carry the current spot prices. */
+  /** Interval between reads of the machine types, which carry the current spot prices. */
   public static final long MACHINE_TYPES_INTERVAL_MS = 60_000;
 
-  /** Timeout of a cloud call in ms; calls take 200 ms. */
+  /** Timeout of a cloud call, which takes 200 ms. */
   public static final int CLOUD_TIMEOUT_MS = 4_000;
 
-  /** ms before a retry after the cloud failed or refused a call. */
+  /** Wait before a retry after the cloud failed or refused a call. */
   public static final long CLOUD_RETRY_MS = 1_000;
 
-  /** ms for which a kind of machine is not requested again after the cloud had no capacity. */
+  /** Time for which a kind of machine is not requested again after the cloud had no capacity. */
   public static final long NO_CAPACITY_BACKOFF_MS = 8_000;
 
   /**
@@ -529,9 +516,7 @@
    */
   public static final double BOOT_LATE_FACTOR = 1.6;
 
-  /**
-   * Late machines of a type, none overtaken by a newer one, at which the cloud is considered slow.
-   */
+  /** Late machines of a type, none overtaken by a newer one, at which the cloud counts as slow. */
   public static final int SLOW_CLOUD_LATE_BOOTS = 4;
 
   /** Multiple of the nominal boot time after which a machine is given up if the cloud is slow. */
@@ -543,7 +528,7 @@
   /** Boot times for which an empty machine is kept: that saves waiting for another to boot. */
   public static final double IDLE_BOOT_TIMES = 0.7;
 
-  /** Boot times that array jobs wait for spot machines before ordinary ones are rented. */
+  /** Boot times for which array jobs wait for spot machines before ordinary ones are rented. */
   public static final double SPOT_WAIT_BOOTS = 0.4;
 
   /** Machines per rental request (protocol). */
@@ -561,7 +546,7 @@
   /** Maximum number of moves in one consolidation round, as a share of the machines. */
   public static final double MOVE_SHARE = 0.1;
 
-  /** s between consolidation rounds. */
+  /** Interval between consolidation rounds. */
   public static final double ROUND_PERIOD_S = 20;
 
   /** Search nodes that a consolidation round may visit: about 100 ms on a whole core. */
@@ -571,8 +556,7 @@
   public static final int SEARCH_NODES_PER_STEP = 50;
 
   /**
-   * s. Tasks that have run for longer are not moved: a move restarts a task that cannot save its
-   * state.
+   * Run time above which a task is not moved: a move restarts a task that cannot save its state.
    */
   public static final double AGE_LIMIT_S = 5;
 
@@ -582,34 +566,35 @@
    */
   public static final int ROUND_TASKS_PER_MOVE = 4;
 
-  /** ms after which a planned move that has not been made is dropped. */
+  /** Time after which a planned move that has not been made is dropped. */
   public static final long MOVE_PLAN_TTL_MS = 15_000;
 
   /**
-   * ms after which a job within its team's guarantee that has not started moves ahead in the queue:
-   * tasks last a minute, so some end every second and most capacity frees up without preemption.
+   * Time after which a job within its team's guarantee that has not started moves ahead in the
+   * queue: tasks last a minute, so some end every second and most capacity frees up without
+   * preemption.
    */
   public static final long GUARANTEED_OVERDUE_MS = 45_000;
 
   /**
-   * ms after which any job that has not started moves ahead in the queue: users allow four minutes
-   * for the largest jobs to start, and capacity for one frees up within a minute or two.
+   * Time after which any job that has not started moves ahead in the queue: users allow four
+   * minutes for the largest jobs to start, and capacity for one frees up within a minute or two.
    */
   public static final long STARVED_MS = 100_000;
 
   /**
-   * ms after which borrowed capacity is reclaimed, by stopping tasks, for a job within its team's
+   * Time after which borrowed capacity is reclaimed, by stopping tasks, for a job within its team's
    * guarantee that has not started.
    */
   public static final long RECLAIM_MS = 75_000;
 
-  /** s for which a task must run for its start to count: the protocol's time with some margin. */
+  /** Time for which a task must run for its start to count: the protocol's with some margin. */
   public static final double MIN_START_RUN_S = 35;
 
-  /** s of lost work that a start without the image is rated at: about the time of one fetch. */
+  /** Lost work that a start without the image is rated at: about the time of one fetch. */
   public static final double COLD_START_COST_S = 3;
 
-  /** s of lost work that a second of saving is rated at, since a task waits for the capacity. */
+  /** Seconds of lost work that a second of saving is rated at: a task waits for the capacity. */
   public static final double SAVE_COST_FACTOR = 4;
 
   /** Maximum machines examined for victims for one job in one pass, so that a pass stays short. */
