--- a/src/main/java/org/baygw/control/Controller.java
+++ b/src/main/java/org/baygw/control/Controller.java
@@ -28,7 +28,7 @@
 public final class Controller {
   private final Clock clock = new Clock();
   private final Outbox outbox = new Outbox();
-  private final StateCache view = new StateCache();
+  private final StateCache cache = new StateCache();
   private final Store store;
   private final Membership membership;
   private final Peers peers;
@@ -43,26 +43,27 @@
   private final StandbyService standby;
 
   public Controller(Settings settings, Features features) {
-    this.store = new Store(clock, outbox, settings, view);
+    this.store = new Store(clock, outbox, settings, cache);
     boolean standbyIsOn = features.standby() != null;
-    this.membership = new Membership(clock, settings, store, view, standbyIsOn);
+    this.membership = new Membership(clock, settings, store, cache, standbyIsOn);
     this.standby =
         standbyIsOn
             ? new StandbyService(
-                clock, outbox, settings, features.standby(), store, view, membership)
+                clock, outbox, settings, features.standby(), store, cache, membership)
             : null;
     Replication replication = standbyIsOn ? standby : Replication.OFF;
-    this.peers = new Peers(clock, outbox, settings, store, view);
-    this.jobs = new Jobs(clock, outbox, settings, store, view, peers);
+    this.peers = new Peers(clock, outbox, settings, store, cache);
+    this.jobs = new Jobs(clock, outbox, settings, store, cache, peers);
     this.cloud = new Cloud(clock, outbox, settings);
     CancellationWatermark watermark = new CancellationWatermark(clock, settings, store, peers);
     this.workers =
         new Workers(
-            clock, outbox, settings, store, view, membership, watermark, cloud, replication);
-    this.scheduler = new Scheduler(clock, settings, store, view, membership, replication);
-    this.fleet = new Fleet(clock, settings, store, view, membership, cloud, scheduler, replication);
+            clock, outbox, settings, store, cache, membership, watermark, cloud, replication);
+    this.scheduler = new Scheduler(clock, settings, store, cache, membership, replication);
+    this.fleet =
+        new Fleet(clock, settings, store, cache, membership, cloud, scheduler, replication);
     this.admin =
-        new Admin(clock, outbox, settings, store, view, membership, workers, scheduler, standby);
+        new Admin(clock, outbox, settings, store, cache, membership, workers, scheduler, standby);
   }
 
   /**
--- a/src/main/java/org/baygw/control/admin/Admin.java
+++ b/src/main/java/org/baygw/control/admin/Admin.java
@@ -34,7 +34,7 @@
   private final Outbox out;
   private final Settings settings;
   private final Store store;
-  private final StateCache view;
+  private final StateCache cache;
   private final Membership membership;
   private final Workers workers;
   private final Scheduler scheduler;
@@ -46,7 +46,7 @@
       Outbox out,
       Settings settings,
       Store store,
-      StateCache view,
+      StateCache cache,
       Membership membership,
       Workers workers,
       Scheduler scheduler,
@@ -55,7 +55,7 @@
     this.out = out;
     this.settings = settings;
     this.store = store;
-    this.view = view;
+    this.cache = cache;
     this.membership = membership;
     this.workers = workers;
     this.scheduler = scheduler;
@@ -78,7 +78,10 @@
           updateParameters(request, body);
         } else {
           requireMethod(
-              "GET", request, method, () -> answerWhenCurrent(request, () -> view.params.toJson()));
+              "GET",
+              request,
+              method,
+              () -> answerWhenCurrent(request, () -> cache.params.toJson()));
         }
       }
       default -> {
@@ -135,13 +138,13 @@
         ok -> {
           SchedulingParameters next;
           try {
-            next = view.params.merge(changes);
+            next = cache.params.merge(changes);
           } catch (IllegalArgumentException e) {
             error(request, 400, e.getMessage());
             return;
           }
           Txn txn =
-              new Txn().when(Keys.PARAMS, view.stamp(Keys.PARAMS)).put(Keys.PARAMS, next.toJson());
+              new Txn().when(Keys.PARAMS, cache.stamp(Keys.PARAMS)).put(Keys.PARAMS, next.toJson());
           write(request, txn, () -> next.toJson());
         });
   }
@@ -150,7 +153,7 @@
     whenCurrent(
         request,
         ok -> {
-          StateCache.Entry<Machine> machine = view.machines.get(name);
+          StateCache.Entry<Machine> machine = cache.machines.get(name);
           if (machine == null) {
             error(request, 404, "no such machine");
             return;
@@ -177,14 +180,14 @@
   private ObjectNode members() {
     ObjectNode body = Json.object();
     ArrayNode array = body.putArray("members");
-    view.members.forEach(
+    cache.members.forEach(
         (label, entry) -> {
           ObjectNode item = array.addObject().put("label", label).put("zone", entry.value().zone());
           item.put("self", label.equals(settings.label()));
         });
-    StateCache.Entry<StateCache.Claim> leader = view.claims.get(Keys.LEADER);
+    StateCache.Entry<StateCache.Claim> leader = cache.claims.get(Keys.LEADER);
     return body.put("leader", leader == null ? null : leader.value().owner())
-        .put("revision", view.revision());
+        .put("revision", cache.revision());
   }
 
   private ObjectNode partitions() {
@@ -196,7 +199,7 @@
               .addObject()
               .put("part", partition.toString())
               .put("owner", membership.owner(partition));
-      item.put("granted_tasks", view.grantedCount(partition));
+      item.put("granted_tasks", cache.grantedCount(partition));
     }
     return body;
   }
@@ -204,7 +207,7 @@
   private ObjectNode machines() {
     ObjectNode body = Json.object();
     ArrayNode array = body.putArray("machines");
-    for (StateCache.Entry<Machine> entry : new TreeMap<>(view.machines).values()) {
+    for (StateCache.Entry<Machine> entry : new TreeMap<>(cache.machines).values()) {
       Machine machine = entry.value();
       ObjectNode item = array.addObject().put("name", machine.name()).put("type", machine.type());
       item.put("zone", machine.zone())
@@ -213,7 +216,7 @@
       item.put("condition", machine.condition().name().toLowerCase(java.util.Locale.ROOT));
       item.put(
           "draining",
-          view.cordons.contains(machine.name()) || view.drains.containsKey(machine.name()));
+          cache.cordons.contains(machine.name()) || cache.drains.containsKey(machine.name()));
       ArrayNode tasks = item.putArray("tasks");
       machine.tasks().keySet().forEach(id -> tasks.add(id.toString()));
     }
@@ -223,9 +226,9 @@
   private void metrics(long request) {
     if (metrics == null) {
       metrics = new Metrics();
-      metrics.gauge("baygw.revision", "Revision the copy has reached", view, StateCache::revision);
-      metrics.gauge("baygw.machines", "Machines on record", view, v -> v.machines.size());
-      metrics.gauge("baygw.jobs", "Jobs on record", view, v -> v.jobs.size());
+      metrics.gauge("baygw.revision", "Revision the copy has reached", cache, StateCache::revision);
+      metrics.gauge("baygw.machines", "Machines on record", cache, v -> v.machines.size());
+      metrics.gauge("baygw.jobs", "Jobs on record", cache, v -> v.jobs.size());
       metrics.gauge(
           "baygw.unmet", "Tasks without room, at the leader", scheduler, Scheduler::unmetTasks);
       metrics.counter("baygw.rounds", "Rounds searched", workers, w -> w.rounds().searchedRounds());
--- a/src/main/java/org/baygw/control/fleet/BootProgress.java
+++ b/src/main/java/org/baygw/control/fleet/BootProgress.java
@@ -32,17 +32,17 @@
   /** Number of late machines that were not overtaken, by machine type. */
   private final Map<String, Integer> lateCounts = new HashMap<>();
 
-  BootProgress(StateCache view, CloudInventory inventory) {
+  BootProgress(StateCache cache, CloudInventory inventory) {
     this.inventory = inventory;
     for (Cloud.ListedMachine machine : inventory.machines()) {
-      if (machine.status().equals("running") || view.machines.containsKey(machine.name())) {
+      if (machine.status().equals("running") || cache.machines.containsKey(machine.name())) {
         youngestUpAgeS.merge(machine.type(), inventory.ageS(machine), Math::min);
       }
     }
     for (Cloud.ListedMachine machine : inventory.machines()) {
-      MachineType type = view.type(machine.type());
+      MachineType type = cache.type(machine.type());
       boolean booting =
-          machine.status().equals("booting") && !view.machines.containsKey(machine.name());
+          machine.status().equals("booting") && !cache.machines.containsKey(machine.name());
       if (type != null
           && booting
           && ageInBootTimes(machine, type) > Constants.BOOT_LATE_FACTOR
--- a/src/main/java/org/baygw/control/fleet/CloudInventory.java
+++ b/src/main/java/org/baygw/control/fleet/CloudInventory.java
@@ -19,7 +19,7 @@
 final class CloudInventory {
   private final Clock clock;
   private final Store store;
-  private final StateCache view;
+  private final StateCache cache;
   private final Membership membership;
   private final Cloud cloud;
   private Map<String, Cloud.ListedMachine> listed = new LinkedHashMap<>();
@@ -29,10 +29,10 @@
   private boolean typesPending;
   private long nextTypes;
 
-  CloudInventory(Clock clock, Store store, StateCache view, Membership membership, Cloud cloud) {
+  CloudInventory(Clock clock, Store store, StateCache cache, Membership membership, Cloud cloud) {
     this.clock = clock;
     this.store = store;
-    this.view = view;
+    this.cache = cache;
     this.membership = membership;
     this.cloud = cloud;
   }
@@ -89,7 +89,7 @@
     boolean valid = types != null && !types.isEmpty();
     nextTypes =
         clock.now() + (valid ? Constants.MACHINE_TYPES_INTERVAL_MS : Constants.CLOUD_RETRY_MS);
-    if (valid && !types.equals(view.types) && membership.leaderClaimStamp() != 0) {
+    if (valid && !types.equals(cache.types) && membership.leaderClaimStamp() != 0) {
       store.txn(
           Store.Urgency.SUBMIT,
           new Txn()
--- a/src/main/java/org/baygw/control/fleet/Fleet.java
+++ b/src/main/java/org/baygw/control/fleet/Fleet.java
@@ -14,7 +14,7 @@
 public final class Fleet {
   private final Clock clock;
   private final Store store;
-  private final StateCache view;
+  private final StateCache cache;
   private final Membership membership;
   private final Scheduler scheduler;
   private final CloudInventory inventory;
@@ -30,21 +30,21 @@
       Clock clock,
       Settings settings,
       Store store,
-      StateCache view,
+      StateCache cache,
       Membership membership,
       Cloud cloud,
       Scheduler scheduler,
       Replication replication) {
     this.clock = clock;
     this.store = store;
-    this.view = view;
+    this.cache = cache;
     this.membership = membership;
     this.scheduler = scheduler;
-    this.inventory = new CloudInventory(clock, store, view, membership, cloud);
-    this.rentals = new Rentals(clock, settings, store, view, cloud, inventory, replication);
-    this.returns = new Returns(clock, settings, store, view, membership, cloud, inventory);
-    this.rentalPlanner = new RentalPlanner(view, inventory, rentals, returns);
-    this.returnPlanner = new ReturnPlanner(clock, settings, view, membership, scheduler, returns);
+    this.inventory = new CloudInventory(clock, store, cache, membership, cloud);
+    this.rentals = new Rentals(clock, settings, store, cache, cloud, inventory, replication);
+    this.returns = new Returns(clock, settings, store, cache, membership, cloud, inventory);
+    this.rentalPlanner = new RentalPlanner(cache, inventory, rentals, returns);
+    this.returnPlanner = new ReturnPlanner(clock, settings, cache, membership, scheduler, returns);
   }
 
   /** Called periodically and after changes. */
@@ -66,7 +66,7 @@
       nextPlan = now + Constants.FLEET_INTERVAL_MS;
       rentalPlanner.plan(scheduler.unmet());
     }
-    if (now >= nextUpdate && !view.types.isEmpty()) {
+    if (now >= nextUpdate && !cache.types.isEmpty()) {
       nextUpdate = now + Constants.FLEET_INTERVAL_MS;
       rentals.tick();
       if (listed) {
--- a/src/main/java/org/baygw/control/fleet/MachineKind.java
+++ b/src/main/java/org/baygw/control/fleet/MachineKind.java
@@ -16,8 +16,8 @@
   }
 
   /** The capacity of an empty machine of this kind, or null if its type is unknown. */
-  MachineCapacity emptyCapacity(StateCache view, String machine) {
-    MachineType machineType = view.type(type);
+  MachineCapacity emptyCapacity(StateCache cache, String machine) {
+    MachineType machineType = cache.type(type);
     return machineType == null ? null : MachineCapacity.empty(machine, machineType, zone, spot);
   }
 
--- a/src/main/java/org/baygw/control/fleet/RentalPlanner.java
+++ b/src/main/java/org/baygw/control/fleet/RentalPlanner.java
@@ -17,13 +17,13 @@
  * rented or booting.
  */
 final class RentalPlanner {
-  private final StateCache view;
+  private final StateCache cache;
   private final CloudInventory inventory;
   private final Rentals rentals;
   private final Returns returns;
 
-  RentalPlanner(StateCache view, CloudInventory inventory, Rentals rentals, Returns returns) {
-    this.view = view;
+  RentalPlanner(StateCache cache, CloudInventory inventory, Rentals rentals, Returns returns) {
+    this.cache = cache;
     this.inventory = inventory;
     this.rentals = rentals;
     this.returns = returns;
@@ -64,7 +64,7 @@
         return;
       }
       toRent.merge(kind, 1, Integer::sum);
-      MachineCapacity capacity = kind.emptyCapacity(view, "");
+      MachineCapacity capacity = kind.emptyCapacity(cache, "");
       int before = remaining;
       remaining = capacity.fill(demand.spec(), remaining);
       capacities.add(capacity);
@@ -80,13 +80,13 @@
    */
   private List<MachineCapacity> bootingMachines() {
     List<MachineCapacity> capacities = new ArrayList<>();
-    BootProgress progress = new BootProgress(view, inventory);
+    BootProgress progress = new BootProgress(cache, inventory);
     for (Cloud.ListedMachine machine : inventory.machines()) {
       if (returns.returned(machine.name()) || returns.isDraining(machine.name())) {
         continue; // the list lags: the cloud may have taken the machine back already
       }
-      MachineType type = view.type(machine.type());
-      boolean reported = view.machines.containsKey(machine.name());
+      MachineType type = cache.type(machine.type());
+      boolean reported = cache.machines.containsKey(machine.name());
       if (machine.status().equals("failed")) {
         returns.drain(machine.name(), machine.zone(), StateCache.Drain.GIVEN_UP);
       } else if (type != null && !reported) {
@@ -114,7 +114,7 @@
     MachineKind best = null;
     double bestPrice = 0;
     int bestCount = 0;
-    for (MachineType type : view.types) {
+    for (MachineType type : cache.types) {
       if (!type.fits(spec) || !spec.typeAllowed(type.name())) {
         continue;
       }
--- a/src/main/java/org/baygw/control/fleet/Rentals.java
+++ b/src/main/java/org/baygw/control/fleet/Rentals.java
@@ -38,7 +38,7 @@
 
   private final Clock clock;
   private final Store store;
-  private final StateCache view;
+  private final StateCache cache;
   private final Cloud cloud;
   private final CloudInventory inventory;
   private final Replication replication;
@@ -71,14 +71,14 @@
       Clock clock,
       Settings settings,
       Store store,
-      StateCache view,
+      StateCache cache,
       Cloud cloud,
       CloudInventory inventory,
       Replication replication) {
     this.replication = replication;
     this.clock = clock;
     this.store = store;
-    this.view = view;
+    this.cache = cache;
     this.cloud = cloud;
     this.inventory = inventory;
     this.maxUnlistedMs = (long) (settings.cloud().listLagS() * 1000 * Constants.UNLISTED_LIST_LAGS);
@@ -120,7 +120,7 @@
     List<MachineCapacity> capacities = new ArrayList<>();
     expected.forEach((name, machine) -> addCapacity(capacities, machine.kind(), name));
     Map<String, Rental> unanswered = new LinkedHashMap<>(unwritten);
-    view.rentals.forEach((name, rental) -> unanswered.put(name, rental.value()));
+    cache.rentals.forEach((name, rental) -> unanswered.put(name, rental.value()));
     unanswered.keySet().removeAll(answered.keySet());
     for (Rental rental : unanswered.values()) {
       for (int i = 0; i < rental.count(); i++) {
@@ -131,7 +131,7 @@
   }
 
   private void addCapacity(List<MachineCapacity> capacities, MachineKind kind, String machine) {
-    MachineCapacity capacity = kind.emptyCapacity(view, machine);
+    MachineCapacity capacity = kind.emptyCapacity(cache, machine);
     if (capacity != null) {
       capacities.add(capacity);
     }
@@ -149,7 +149,7 @@
         .removeIf(
             entry ->
                 inventory.lists(entry.getKey())
-                    || view.machines.containsKey(entry.getKey())
+                    || cache.machines.containsKey(entry.getKey())
                     || now - entry.getValue().rentedAt() > maxUnlistedMs);
     for (String booking : List.copyOf(retryAt.keySet())) {
       if (now >= retryAt.get(booking)) {
@@ -165,7 +165,7 @@
    */
   void tick() {
     expire();
-    for (Map.Entry<String, StateCache.Entry<Rental>> entry : view.rentals.entrySet()) {
+    for (Map.Entry<String, StateCache.Entry<Rental>> entry : cache.rentals.entrySet()) {
       String name = entry.getKey();
       if (answered.containsKey(name)) {
         deleteRecordWhenKnown(name, entry.getValue().stamp());
@@ -179,7 +179,7 @@
     Answer answer = answered.get(name);
     boolean known =
         answer.machines().stream()
-            .allMatch(m -> !expected.containsKey(m) || view.machines.containsKey(m));
+            .allMatch(m -> !expected.containsKey(m) || cache.machines.containsKey(m));
     if (known || clock.now() - answer.answeredAt() > maxUnlistedMs) {
       deleteRecord(name, stamp);
     }
@@ -234,7 +234,7 @@
     busy.remove(name);
     answered.put(name, new Answer(machines, now));
     for (String machine : machines) {
-      if (!inventory.lists(machine) && !view.machines.containsKey(machine)) {
+      if (!inventory.lists(machine) && !cache.machines.containsKey(machine)) {
         expected.put(machine, new ExpectedMachine(kind, now));
       }
     }
--- a/src/main/java/org/baygw/control/fleet/ReturnPlanner.java
+++ b/src/main/java/org/baygw/control/fleet/ReturnPlanner.java
@@ -24,7 +24,7 @@
 final class ReturnPlanner {
   private final Clock clock;
   private final Settings settings;
-  private final StateCache view;
+  private final StateCache cache;
   private final Membership membership;
   private final Scheduler scheduler;
   private final Returns returns;
@@ -37,13 +37,13 @@
   ReturnPlanner(
       Clock clock,
       Settings settings,
-      StateCache view,
+      StateCache cache,
       Membership membership,
       Scheduler scheduler,
       Returns returns) {
     this.clock = clock;
     this.settings = settings;
-    this.view = view;
+    this.cache = cache;
     this.membership = membership;
     this.scheduler = scheduler;
     this.returns = returns;
@@ -58,16 +58,16 @@
   /** Marks machines for return: those given up, and those that have been empty for long. */
   void tick() {
     long now = clock.now();
-    emptySince.keySet().retainAll(view.machines.keySet());
+    emptySince.keySet().retainAll(cache.machines.keySet());
     silentSince
         .keySet()
         .removeIf(
             name ->
-                !view.machines.containsKey(name)
-                    || view.machines.get(name).value().condition() != Machine.Condition.SILENT);
+                !cache.machines.containsKey(name)
+                    || cache.machines.get(name).value().condition() != Machine.Condition.SILENT);
     Map<String, Integer> machineCounts = new HashMap<>();
     Map<String, Integer> silentCounts = new HashMap<>();
-    for (StateCache.Entry<Machine> entry : view.machines.values()) {
+    for (StateCache.Entry<Machine> entry : cache.machines.values()) {
       Machine machine = entry.value();
       machineCounts.merge(machine.zone(), 1, Integer::sum);
       if (machine.condition() == Machine.Condition.SILENT) {
@@ -87,7 +87,7 @@
             zoneOutageAt.put(zone, now);
           }
         });
-    for (StateCache.Entry<Machine> entry : List.copyOf(view.machines.values())) {
+    for (StateCache.Entry<Machine> entry : List.copyOf(cache.machines.values())) {
       Machine machine = entry.value();
       if (returns.isDraining(machine.name())) {
         continue;
@@ -104,12 +104,12 @@
           || machine.condition() == Machine.Condition.SICK) {
         continue;
       }
-      if (!machine.tasks().isEmpty() || !view.unplaced(machine.partition()).isEmpty()) {
+      if (!machine.tasks().isEmpty() || !cache.unplaced(machine.partition()).isEmpty()) {
         emptySince.remove(machine.name());
         continue;
       }
       long since = emptySince.computeIfAbsent(machine.name(), k -> now);
-      MachineType type = view.type(machine.type());
+      MachineType type = cache.type(machine.type());
       boolean leaving = machine.condition() != Machine.Condition.OK;
       double keepMs = type == null || leaving ? 0 : type.bootS() * 1000 * Constants.IDLE_BOOT_TIMES;
       if (machine.spot() && type != null && type.spotPrice() > 0) {
@@ -127,7 +127,7 @@
    * exhausted it blocks the rental of machines that are needed.
    */
   private boolean hasDemand(Machine machine) {
-    MachineType type = view.type(machine.type());
+    MachineType type = cache.type(machine.type());
     if (type == null) {
       return false;
     }
@@ -155,7 +155,7 @@
     }
     long limitMs = Constants.SILENT_OUTAGE_MS;
     for (TaskId task : machine.tasks().keySet()) {
-      StateCache.Entry<Job> job = view.jobs.get(task.job());
+      StateCache.Entry<Job> job = cache.jobs.get(task.job());
       if (job != null && job.value().state() == Job.State.CANCELLED) {
         limitMs = (long) (settings.workers().cancelS() * 1000 * Constants.SILENT_CANCEL_SHARE);
       }
@@ -165,7 +165,7 @@
 
   private boolean hasReplica(Machine machine) {
     for (TaskId task : machine.tasks().keySet()) {
-      StateCache.Entry<Job> job = view.jobs.get(task.job());
+      StateCache.Entry<Job> job = cache.jobs.get(task.job());
       if (job != null && job.value().open() && job.value().spec().service()) {
         return true;
       }
--- a/src/main/java/org/baygw/control/fleet/Returns.java
+++ b/src/main/java/org/baygw/control/fleet/Returns.java
@@ -32,7 +32,7 @@
 
   private final Clock clock;
   private final Store store;
-  private final StateCache view;
+  private final StateCache cache;
   private final Membership membership;
   private final Cloud cloud;
   private final CloudInventory inventory;
@@ -66,13 +66,13 @@
       Clock clock,
       Settings settings,
       Store store,
-      StateCache view,
+      StateCache cache,
       Membership membership,
       Cloud cloud,
       CloudInventory inventory) {
     this.clock = clock;
     this.store = store;
-    this.view = view;
+    this.cache = cache;
     this.membership = membership;
     this.cloud = cloud;
     this.inventory = inventory;
@@ -97,19 +97,19 @@
 
   /** Whether the machine is marked for return or is about to be. */
   boolean isDraining(String machine) {
-    return view.drains.containsKey(machine) || pendingDrains.contains(machine);
+    return cache.drains.containsKey(machine) || pendingDrains.contains(machine);
   }
 
   private void pruneReturned() {
     if (prunedAt != inventory.listedAt()) {
       prunedAt = inventory.listedAt();
-      returned.removeIf(m -> !inventory.lists(m) && !view.drains.containsKey(m));
+      returned.removeIf(m -> !inventory.lists(m) && !cache.drains.containsKey(m));
     }
   }
 
   /** Requests that a machine be marked for return; {@link #tick} writes the mark. */
   void drain(String name, String zone, StateCache.Drain reason) {
-    Partition partition = Partition.of(name, zone, view.partitionsPerZone());
+    Partition partition = Partition.of(name, zone, cache.partitionsPerZone());
     requestedDrains.computeIfAbsent(partition, k -> new LinkedHashMap<>()).put(name, reason);
     pendingDrains.add(name);
     LOG.debug("marking machine {} for return: {}", name, reason);
@@ -121,7 +121,7 @@
    * is deleted.
    */
   private void writeDrains(Partition partition) {
-    Map<String, StateCache.Drain> drains = new LinkedHashMap<>(view.drains(partition));
+    Map<String, StateCache.Drain> drains = new LinkedHashMap<>(cache.drains(partition));
     Map<String, StateCache.Drain> added = takeRequested(partition, drains.size());
     added.forEach(drains::putIfAbsent);
     // GONE is stored durably before anyone acts on the machine's return.
@@ -130,11 +130,11 @@
         .entrySet()
         .removeIf(
             e ->
-                e.getValue() == StateCache.Drain.GONE && !view.machines.containsKey(e.getKey())
+                e.getValue() == StateCache.Drain.GONE && !cache.machines.containsKey(e.getKey())
                     || receivedTask(partition, e.getKey(), e.getValue()));
-    Set<String> obsoleteCordons = new HashSet<>(view.cordons);
-    obsoleteCordons.removeIf(m -> drains.containsKey(m) || !view.drains(partition).containsKey(m));
-    if (drains.equals(view.drains(partition))) {
+    Set<String> obsoleteCordons = new HashSet<>(cache.cordons);
+    obsoleteCordons.removeIf(m -> drains.containsKey(m) || !cache.drains(partition).containsKey(m));
+    if (drains.equals(cache.drains(partition))) {
       pendingDrains.removeAll(added.keySet());
       return;
     }
@@ -142,7 +142,7 @@
     drains.forEach((m, d) -> value.put(m, d.name()));
     String key = Keys.drain(partition);
     Txn txn =
-        new Txn().when(Keys.claim(Keys.LEADER), claim).when(key, view.stamp(key)).put(key, value);
+        new Txn().when(Keys.claim(Keys.LEADER), claim).when(key, cache.stamp(key)).put(key, value);
     obsoleteCordons.forEach(m -> txn.delete(Keys.cordon(m)));
     busyPartitions.add(partition);
     store.txnWithRetry(
@@ -176,12 +176,14 @@
     return reason == StateCache.Drain.IDLE
         && viewIsCurrent(partition)
         && !gone.contains(name)
-        && !view.tasksOn(name).isEmpty();
+        && !cache.tasksOn(name).isEmpty();
   }
 
-  /** Whether the view includes every placement made before the partition's list last changed. */
+  /**
+   * Whether the state cache includes every placement made before the partition's list last changed.
+   */
   private boolean viewIsCurrent(Partition partition) {
-    return view.revision() >= view.stamp(Keys.drain(partition));
+    return cache.revision() >= cache.stamp(Keys.drain(partition));
   }
 
   /**
@@ -192,7 +194,7 @@
     long now = clock.now();
     pruneReturned();
     List<String> names = new ArrayList<>();
-    gone.removeIf(m -> !view.drains.containsKey(m));
+    gone.removeIf(m -> !cache.drains.containsKey(m));
     for (Partition partition : membership.partitions()) {
       if (busyPartitions.contains(partition)) {
         continue;
@@ -201,7 +203,8 @@
       if (busyPartitions.contains(partition) || !viewIsCurrent(partition)) {
         continue;
       }
-      view.drains(partition)
+      cache
+          .drains(partition)
           .forEach(
               (name, drain) -> {
                 if (drain != StateCache.Drain.GONE
--- a/src/main/java/org/baygw/control/jobs/Jobs.java
+++ b/src/main/java/org/baygw/control/jobs/Jobs.java
@@ -37,18 +37,18 @@
   private final Outbox out;
   private final Settings settings;
   private final Store store;
-  private final StateCache view;
+  private final StateCache cache;
   private final Peers peers;
   private int pendingSubmissions;
 
   public Jobs(
-      Clock clock, Outbox out, Settings settings, Store store, StateCache view, Peers peers) {
+      Clock clock, Outbox out, Settings settings, Store store, StateCache cache, Peers peers) {
     this.peers = peers;
     this.clock = clock;
     this.out = out;
     this.settings = settings;
     this.store = store;
-    this.view = view;
+    this.cache = cache;
   }
 
   /** Returns whether this controller can serve users' requests. */
@@ -113,7 +113,7 @@
       retryLater(request, 503, "state not loaded yet");
       return;
     }
-    if (view.jobs.containsKey(id)) {
+    if (cache.jobs.containsKey(id)) {
       poll(request, id);
       return;
     }
@@ -128,7 +128,7 @@
       refuse(request, id, 422, "crew: unknown team");
       return;
     }
-    if (view.types.isEmpty()) {
+    if (cache.types.isEmpty()) {
       retryLater(request, 503, "machine types not loaded yet");
       return;
     }
@@ -168,7 +168,7 @@
         ok -> {
           if (!ok) {
             retryLater(request, 503, "the state service does not answer");
-          } else if (view.jobs.containsKey(id)) {
+          } else if (cache.jobs.containsKey(id)) {
             answer(request, id);
           } else {
             LOG.info("rejected submission {} with status {}: {}", id, status, reason);
@@ -180,7 +180,7 @@
   private String unschedulableReason(JobSpec spec) {
     Settings.Team team = settings.team(spec.team());
     boolean fits = false;
-    for (MachineType type : view.types) {
+    for (MachineType type : cache.types) {
       fits |=
           type.fits(spec)
               && spec.typeAllowed(type.name())
@@ -198,7 +198,7 @@
   }
 
   private void poll(long request, String id) {
-    StateCache.Entry<Job> known = view.jobs.get(id);
+    StateCache.Entry<Job> known = cache.jobs.get(id);
     if (known != null && !known.value().open()) {
       answer(request, id);
       return;
@@ -218,7 +218,7 @@
   }
 
   private void abort(long request, String id, int attemptsLeft) {
-    StateCache.Entry<Job> known = view.jobs.get(id);
+    StateCache.Entry<Job> known = cache.jobs.get(id);
     if (known != null && !known.value().open()) {
       answer(request, id);
       return;
@@ -232,7 +232,7 @@
           ok -> {
             if (!ok) {
               retryLater(request, 503, "the state service does not answer");
-            } else if (view.jobs.containsKey(id)) {
+            } else if (cache.jobs.containsKey(id)) {
               abort(request, id, attemptsLeft - 1);
             } else {
               notFound(request);
@@ -259,7 +259,7 @@
   }
 
   private void answer(long request, String id) {
-    StateCache.Entry<Job> entry = view.jobs.get(id);
+    StateCache.Entry<Job> entry = cache.jobs.get(id);
     if (entry == null) {
       notFound(request);
       return;
@@ -273,12 +273,12 @@
     }
     int done = 0;
     int running = 0;
-    TreeMap<Integer, StateCache.Entry<Progress>> chunks = view.progress.get(id);
+    TreeMap<Integer, StateCache.Entry<Progress>> chunks = cache.progress.get(id);
     if (chunks != null) {
       for (StateCache.Entry<Progress> p : chunks.values()) {
         done += p.value().done.cardinality();
         for (int i : p.value().live.keySet()) {
-          if (view.taskMachines.containsKey(new TaskId(id, i))) {
+          if (cache.taskMachines.containsKey(new TaskId(id, i))) {
             running++;
           }
         }
--- a/src/main/java/org/baygw/control/membership/Membership.java
+++ b/src/main/java/org/baygw/control/membership/Membership.java
@@ -31,7 +31,7 @@
   private final Clock clock;
   private final Settings settings;
   private final Store store;
-  private final StateCache view;
+  private final StateCache cache;
   private final MembershipLease lease;
   private final PartitionAssignment assignment;
   private List<Partition> partitions = List.of();
@@ -58,21 +58,21 @@
    * @param prefersOtherZone whether the leader's successor is preferably chosen from another zone
    */
   public Membership(
-      Clock clock, Settings settings, Store store, StateCache view, boolean prefersOtherZone) {
+      Clock clock, Settings settings, Store store, StateCache cache, boolean prefersOtherZone) {
     this.prefersOtherZone = prefersOtherZone;
     this.clock = clock;
     this.settings = settings;
     this.store = store;
-    this.view = view;
-    this.lease = new MembershipLease(clock, settings, store, view);
-    this.assignment = new PartitionAssignment(settings, view);
+    this.cache = cache;
+    this.lease = new MembershipLease(clock, settings, store, cache);
+    this.assignment = new PartitionAssignment(settings, cache);
   }
 
   /** All partitions; empty until the number of partitions per zone has been stored. */
   public List<Partition> partitions() {
     int zones = settings.zones().size();
-    if (partitions.size() != view.partitionsPerZone() * zones) {
-      partitions = Partition.all(settings.zones(), view.partitionsPerZone());
+    if (partitions.size() != cache.partitionsPerZone() * zones) {
+      partitions = Partition.all(settings.zones(), cache.partitionsPerZone());
     }
     return partitions;
   }
@@ -83,11 +83,11 @@
    * missing from the cache.
    */
   public long heldClaimStamp(String role) {
-    StateCache.Entry<StateCache.Claim> claim = view.claims.get(role);
+    StateCache.Entry<StateCache.Claim> claim = cache.claims.get(role);
     return claim != null
             && lease.currentLeaseId() != 0
             && claim.value().leaseId() == lease.currentLeaseId()
-            && view.revision() >= claim.stamp()
+            && cache.revision() >= claim.stamp()
             && claim.stamp() > supersededClaims.getOrDefault(role, 0L)
         ? claim.stamp()
         : 0;
@@ -116,7 +116,7 @@
 
   /** The claim of a role in the state cache, or null. */
   public StateCache.Entry<StateCache.Claim> claim(String role) {
-    return view.claims.get(role);
+    return cache.claims.get(role);
   }
 
   /** The names of all roles: the leader and each partition. */
@@ -142,8 +142,8 @@
    * claims are taken; null if there is no other controller.
    */
   public String successor(String role) {
-    StateCache.Entry<StateCache.Claim> claim = view.claims.get(role);
-    Set<String> others = new HashSet<>(view.members.keySet());
+    StateCache.Entry<StateCache.Claim> claim = cache.claims.get(role);
+    Set<String> others = new HashSet<>(cache.members.keySet());
     if (claim != null) {
       others.remove(claim.value().owner());
     }
@@ -170,7 +170,7 @@
 
   /** Whether this controller's member key marks it as leaving. */
   public boolean leaving() {
-    StateCache.Entry<StateCache.Member> self = view.members.get(settings.label());
+    StateCache.Entry<StateCache.Member> self = cache.members.get(settings.label());
     return self != null && self.value().leaving();
   }
 
@@ -181,7 +181,7 @@
 
   /** Whether another live controller is not leaving. */
   public boolean othersStay() {
-    return view.members.entrySet().stream()
+    return cache.members.entrySet().stream()
         .anyMatch(
             entry ->
                 !entry.getKey().equals(settings.label()) && !entry.getValue().value().leaving());
@@ -233,7 +233,7 @@
 
   /** The label of the controller that owns the partition, or null. */
   public String owner(Partition partition) {
-    StateCache.Entry<StateCache.Claim> claim = view.claims.get(partition.toString());
+    StateCache.Entry<StateCache.Claim> claim = cache.claims.get(partition.toString());
     boolean over =
         claim == null || claim.stamp() <= supersededClaims.getOrDefault(partition.toString(), 0L);
     return over ? null : claim.value().owner();
@@ -243,10 +243,10 @@
   public void tick() {
     long now = clock.now();
     if (store.loaded()) {
-      firstSeen.keySet().retainAll(view.members.keySet());
-      view.members.keySet().forEach(label -> firstSeen.putIfAbsent(label, now));
+      firstSeen.keySet().retainAll(cache.members.keySet());
+      cache.members.keySet().forEach(label -> firstSeen.putIfAbsent(label, now));
     }
-    StateCache.Entry<StateCache.Claim> leader = view.claims.get(Keys.LEADER);
+    StateCache.Entry<StateCache.Claim> leader = cache.claims.get(Keys.LEADER);
     leaderZone = leader == null ? leaderZone : assignment.zoneOf(leader.value().owner());
     leaderlessSince = leader != null ? 0 : leaderlessSince == 0 ? now : leaderlessSince;
     boolean joined = lease.currentLeaseId() != 0;
@@ -255,8 +255,8 @@
       return;
     }
     store.updateShare(leaderClaimStamp() != 0);
-    if (!claimWriteInFlight && now >= nextClaimAt && view.members.containsKey(settings.label())) {
-      if (view.partitionsPerZone() == 0) {
+    if (!claimWriteInFlight && now >= nextClaimAt && cache.members.containsKey(settings.label())) {
+      if (cache.partitionsPerZone() == 0) {
         storeLayout();
       } else {
         updateClaims();
@@ -285,13 +285,13 @@
 
   /** Whether this controller is recorded as reaching the workers of its zone. */
   public boolean workersReachable() {
-    StateCache.Entry<StateCache.Member> self = view.members.get(settings.label());
+    StateCache.Entry<StateCache.Member> self = cache.members.get(settings.label());
     return self == null || self.value().reachesWorkers();
   }
 
   /** Whether another controller of this zone is recorded as reaching the zone's workers. */
   public boolean otherControllersReachWorkers() {
-    for (Map.Entry<String, StateCache.Entry<StateCache.Member>> entry : view.members.entrySet()) {
+    for (Map.Entry<String, StateCache.Entry<StateCache.Member>> entry : cache.members.entrySet()) {
       StateCache.Member member = entry.getValue().value();
       if (!entry.getKey().equals(settings.label())
           && member.zone().equals(settings.zone())
@@ -334,13 +334,13 @@
 
   private Txn claimTxn() {
     List<String> wanted = new ArrayList<>();
-    if (!view.claims.containsKey(Keys.LEADER)
-        && settings.label().equals(chooseLeader(view.members.keySet()))) {
+    if (!cache.claims.containsKey(Keys.LEADER)
+        && settings.label().equals(chooseLeader(cache.members.keySet()))) {
       wanted.add(Keys.LEADER);
     }
     Map<Partition, String> owners = assignment.ownersAmong(expectedMembers());
     for (Partition partition : partitions()) {
-      if (!view.claims.containsKey(partition.toString())
+      if (!cache.claims.containsKey(partition.toString())
           && settings.label().equals(owners.get(partition))) {
         wanted.add(partition.toString());
       }
@@ -374,7 +374,7 @@
    * workers, and hand most partitions over again.
    */
   private Set<String> expectedMembers() {
-    Set<String> members = eligible(view.members.keySet());
+    Set<String> members = eligible(cache.members.keySet());
     if (clock.now() - lease.joinedAt() < Constants.JOIN_GRACE_MS) {
       settings.peers().forEach(peer -> members.add(peer.label()));
     }
@@ -386,7 +386,7 @@
     boolean configured = false;
     for (Settings.Peer peer : settings.peers()) {
       boolean inZone = peer.zone().equals(zone);
-      if (inZone && view.members.containsKey(peer.label())) {
+      if (inZone && cache.members.containsKey(peer.label())) {
         return false;
       }
       configured |= inZone;
@@ -396,7 +396,7 @@
 
   /** The controller to which a partition without an owner is assigned, or null. */
   public String assignedOwner(Partition partition) {
-    return assignment.ownersAmong(eligible(view.members.keySet())).get(partition);
+    return assignment.ownersAmong(eligible(cache.members.keySet())).get(partition);
   }
 
   /**
@@ -428,7 +428,7 @@
     Set<String> eligible = new HashSet<>(staying);
     eligible.removeIf(
         label ->
-            view.members.containsKey(label) && !view.members.get(label).value().reachesWorkers());
+            cache.members.containsKey(label) && !cache.members.get(label).value().reachesWorkers());
     return eligible.isEmpty() ? staying : eligible;
   }
 
@@ -436,7 +436,7 @@
   private Set<String> staying(Set<String> controllers) {
     Set<String> staying = new HashSet<>(controllers);
     staying.removeIf(
-        label -> view.members.containsKey(label) && view.members.get(label).value().leaving());
+        label -> cache.members.containsKey(label) && cache.members.get(label).value().leaving());
     return staying.isEmpty() ? new HashSet<>(controllers) : staying;
   }
 }
--- a/src/main/java/org/baygw/control/membership/MembershipLease.java
+++ b/src/main/java/org/baygw/control/membership/MembershipLease.java
@@ -22,7 +22,7 @@
   private final Clock clock;
   private final Settings settings;
   private final Store store;
-  private final StateCache view;
+  private final StateCache cache;
 
   /** The lease that the member key is attached to; 0 before joining and after its expiry. */
   private long currentLeaseId;
@@ -49,11 +49,11 @@
 
   private long nextAttemptAt;
 
-  MembershipLease(Clock clock, Settings settings, Store store, StateCache view) {
+  MembershipLease(Clock clock, Settings settings, Store store, StateCache cache) {
     this.clock = clock;
     this.settings = settings;
     this.store = store;
-    this.view = view;
+    this.cache = cache;
   }
 
   /** The ID of the current lease, or 0 if there is none. */
@@ -96,7 +96,7 @@
   }
 
   private void join() {
-    StateCache.Entry<StateCache.Member> previous = view.members.get(settings.label());
+    StateCache.Entry<StateCache.Member> previous = cache.members.get(settings.label());
     if (previous != null && previous.value().leaseId() != endedLeaseId) {
       // The member key of this controller's former process. Ending its lease frees its claims now.
       endLease(previous.value().leaseId());
@@ -246,7 +246,7 @@
 
   /** Stores in the member key whether this controller reaches the workers of its zone. */
   void setWorkersReachable(boolean reachable) {
-    StateCache.Entry<StateCache.Member> entry = view.members.get(settings.label());
+    StateCache.Entry<StateCache.Member> entry = cache.members.get(settings.label());
     if (entry != null && entry.value().reachesWorkers() != reachable) {
       updateMember(
           entry,
@@ -258,7 +258,7 @@
   /** Stores in the member key whether this controller is leaving, so that others take its roles. */
   void setLeaving(boolean isLeaving) {
     leaving = isLeaving;
-    StateCache.Entry<StateCache.Member> entry = view.members.get(settings.label());
+    StateCache.Entry<StateCache.Member> entry = cache.members.get(settings.label());
     if (entry != null && entry.value().leaving() != isLeaving) {
       updateMember(
           entry,
--- a/src/main/java/org/baygw/control/membership/PartitionAssignment.java
+++ b/src/main/java/org/baygw/control/membership/PartitionAssignment.java
@@ -18,14 +18,14 @@
  */
 final class PartitionAssignment {
   private final Settings settings;
-  private final StateCache view;
+  private final StateCache stateCache;
 
   /** Cached assignments by the controllers and zones that they were computed for. */
   private final Map<Set<String>, Map<Partition, String>> cache = new HashMap<>();
 
-  PartitionAssignment(Settings settings, StateCache view) {
+  PartitionAssignment(Settings settings, StateCache stateCache) {
     this.settings = settings;
-    this.view = view;
+    this.stateCache = stateCache;
   }
 
   /** The owner of each partition when the partitions are divided among these controllers. */
@@ -35,8 +35,8 @@
     }
     Set<String> key = new HashSet<>();
     controllers.forEach(label -> key.add(label + "|" + zoneOf(label)));
-    key.add(String.valueOf(view.partitionsPerZone()));
-    return cache.computeIfAbsent(key, k -> assign(controllers, view.partitionsPerZone()));
+    key.add(String.valueOf(stateCache.partitionsPerZone()));
+    return cache.computeIfAbsent(key, k -> assign(controllers, stateCache.partitionsPerZone()));
   }
 
   /**
@@ -47,7 +47,8 @@
     Set<String> all = new HashSet<>();
     settings.peers().forEach(peer -> all.add(peer.label()));
     all.add(settings.label());
-    int perZone = view.partitionsPerZone() > 0 ? view.partitionsPerZone() : initialPerZone();
+    int perZone =
+        stateCache.partitionsPerZone() > 0 ? stateCache.partitionsPerZone() : initialPerZone();
     String owner = assign(all, perZone).get(Partition.of(machine, zone, perZone));
     return settings.label().equals(owner) ? null : owner;
   }
@@ -61,7 +62,7 @@
 
   /** The zone of a controller from its member key, or else the settings; empty if unknown. */
   String zoneOf(String label) {
-    StateCache.Entry<StateCache.Member> member = view.members.get(label);
+    StateCache.Entry<StateCache.Member> member = stateCache.members.get(label);
     if (member != null) {
       return member.value().zone();
     }
--- a/src/main/java/org/baygw/control/membership/Peers.java
+++ b/src/main/java/org/baygw/control/membership/Peers.java
@@ -30,7 +30,7 @@
   private final Outbox outbox;
   private final Settings settings;
   private final Store store;
-  private final StateCache view;
+  private final StateCache cache;
   private final Map<String, ReceivedStatus> latestStatus = new HashMap<>();
 
   /** For each peer, the sending time of the latest request that it acknowledged. */
@@ -41,12 +41,12 @@
   private long lastSend = Long.MIN_VALUE / 2;
   private boolean urgent;
 
-  public Peers(Clock clock, Outbox outbox, Settings settings, Store store, StateCache view) {
+  public Peers(Clock clock, Outbox outbox, Settings settings, Store store, StateCache cache) {
     this.clock = clock;
     this.outbox = outbox;
     this.settings = settings;
     this.store = store;
-    this.view = view;
+    this.cache = cache;
     // A lease that leaves little time for cancellations requires more frequent acknowledgements.
     this.periodMs = settings.workers().watermarkPeriodMs(Constants.PEER_STATUS_MS);
   }
@@ -66,7 +66,7 @@
           peer.addr(),
           "POST",
           PATH,
-          encode(last == null ? view.revision() : last.revision()),
+          encode(last == null ? cache.revision() : last.revision()),
           periodMs,
           (status, body) -> {
             PeerStatus peerStatus = status == 200 ? apply(body) : null;
@@ -159,10 +159,10 @@
     latestStatus.put(
         status.label(), new ReceivedStatus(clock.now(), status.stateAgeMs(), status.revision()));
     for (PeerStatus.Cancellation cancellation : status.cancellations()) {
-      view.addPeerCancellation(
+      cache.addPeerCancellation(
           cancellation.job(), cancellation.stamp(), cancellation.cancelledMs());
     }
-    if (status.revision() > view.revision()) {
+    if (status.revision() > cache.revision()) {
       store.refresh();
     }
     return status;
@@ -171,18 +171,19 @@
   /** Encodes this controller's status for a peer whose state cache has reached the revision. */
   private byte[] encode(long peerRevision) {
     List<PeerStatus.Cancellation> cancellations = new ArrayList<>();
-    view.cancelledAfter(peerRevision)
+    cache
+        .cancelledAfter(peerRevision)
         .forEach(
             (stamp, jobs) ->
                 jobs.forEach(
                     job ->
                         cancellations.add(
-                            new PeerStatus.Cancellation(job, stamp, view.cancelledMs(job)))));
+                            new PeerStatus.Cancellation(job, stamp, cache.cancelledMs(job)))));
     boolean complete = cancellations.size() <= Constants.CANCELLATIONS_PER_STATUS;
     PeerStatus status =
         new PeerStatus(
             settings.label(),
-            view.revision(),
+            cache.revision(),
             Math.max(0, Math.min(clock.now() - store.lastContact(), Integer.MAX_VALUE)),
             store.loaded() && complete,
             complete
--- a/src/main/java/org/baygw/control/placement/CapacityCache.java
+++ b/src/main/java/org/baygw/control/placement/CapacityCache.java
@@ -9,23 +9,23 @@
 public final class CapacityCache {
   private record CachedCapacity(Machine machine, MachineCapacity capacity) {}
 
-  private final StateCache view;
+  private final StateCache stateCache;
   private final Map<String, CachedCapacity> cache = new HashMap<>();
 
-  public CapacityCache(StateCache view) {
-    this.view = view;
+  public CapacityCache(StateCache stateCache) {
+    this.stateCache = stateCache;
   }
 
   /** A copy that the caller may change; null for a machine of an unknown type. */
   public MachineCapacity of(Machine machine) {
     CachedCapacity cached = cache.get(machine.name());
     if (cached == null || cached.machine() != machine) {
-      MachineCapacity capacity = MachineCapacity.of(view, machine);
+      MachineCapacity capacity = MachineCapacity.of(stateCache, machine);
       if (capacity == null) {
         return null;
       }
-      if (cache.size() > 2 * view.machines.size() + 16) {
-        cache.keySet().retainAll(view.machines.keySet());
+      if (cache.size() > 2 * stateCache.machines.size() + 16) {
+        cache.keySet().retainAll(stateCache.machines.keySet());
       }
       cached = new CachedCapacity(machine, capacity);
       cache.put(machine.name(), cached);
--- a/src/main/java/org/baygw/control/placement/MachineCapacity.java
+++ b/src/main/java/org/baygw/control/placement/MachineCapacity.java
@@ -35,14 +35,14 @@
   }
 
   /** Returns null for a machine of an unknown type. */
-  public static MachineCapacity of(StateCache view, Machine machine) {
-    MachineType type = view.type(machine.type());
+  public static MachineCapacity of(StateCache cache, Machine machine) {
+    MachineType type = cache.type(machine.type());
     if (type == null) {
       return null;
     }
     MachineCapacity capacity = new MachineCapacity(machine, type);
     for (Map.Entry<TaskId, Integer> entry : machine.tasks().entrySet()) {
-      StateCache.Entry<Job> job = view.jobs.get(entry.getKey().job());
+      StateCache.Entry<Job> job = cache.jobs.get(entry.getKey().job());
       if (job != null) {
         capacity.reserve(job.value().spec());
       }
--- a/src/main/java/org/baygw/control/quota/FreeCapacity.java
+++ b/src/main/java/org/baygw/control/quota/FreeCapacity.java
@@ -27,19 +27,19 @@
   record Candidate(Partition partition, MachineCapacity capacity) {}
 
   private final Settings settings;
-  private final StateCache view;
+  private final StateCache stateCache;
   private final ZoneRules zones;
   private final Map<Partition, List<MachineCapacity>> machinesByPartition = new TreeMap<>();
 
   FreeCapacity(
       Settings settings,
-      StateCache view,
+      StateCache stateCache,
       Membership membership,
       CapacityCache cache,
       JobWrites writes,
       ZoneRules zones) {
     this.settings = settings;
-    this.view = view;
+    this.stateCache = stateCache;
     this.zones = zones;
     for (Partition partition : membership.partitions()) {
       if (membership.owner(partition) != null) {
@@ -53,14 +53,14 @@
   }
 
   private List<MachineCapacity> usableMachines(Partition partition, CapacityCache cache) {
-    int pageCount = view.pages().count(partition);
+    int pageCount = stateCache.pages().count(partition);
     Set<Integer> fullPages = fullPages(partition, pageCount);
     List<MachineCapacity> capacities = new ArrayList<>();
-    for (String name : view.machinesOf(partition)) {
-      Machine machine = view.machines.get(name).value();
+    for (String name : stateCache.machinesOf(partition)) {
+      Machine machine = stateCache.machines.get(name).value();
       boolean usable =
           machine.condition() == Machine.Condition.OK
-              && !view.drains.containsKey(name)
+              && !stateCache.drains.containsKey(name)
               && (fullPages.isEmpty()
                   || !fullPages.contains(PartitionRecord.pageOf(name, pageCount)));
       MachineCapacity capacity = usable ? cache.of(machine) : null;
@@ -76,7 +76,7 @@
     int limitBytes = (int) (settings.state().valueKb() * 1024 * Constants.RECORD_FULL_SHARE);
     Set<Integer> full = new HashSet<>();
     for (int i = 0; i < pageCount; i++) {
-      if (view.pages().bytes(partition, i) > limitBytes) {
+      if (stateCache.pages().bytes(partition, i) > limitBytes) {
         full.add(i);
       }
     }
@@ -90,11 +90,11 @@
   private void reserveUnplaced(
       Partition partition, List<MachineCapacity> capacities, JobWrites writes) {
     Map<String, Integer> unplaced = new TreeMap<>();
-    view.unplaced(partition).forEach(task -> unplaced.merge(task.job(), 1, Integer::sum));
+    stateCache.unplaced(partition).forEach(task -> unplaced.merge(task.job(), 1, Integer::sum));
     writes.addGrantsTo(partition, unplaced);
     unplaced.forEach(
         (jobId, count) -> {
-          StateCache.Entry<Job> job = view.jobs.get(jobId);
+          StateCache.Entry<Job> job = stateCache.jobs.get(jobId);
           int remaining = job == null ? 0 : count;
           for (MachineCapacity capacity : capacities) {
             if (remaining == 0) {
--- a/src/main/java/org/baygw/control/quota/PartitionAvoidance.java
+++ b/src/main/java/org/baygw/control/quota/PartitionAvoidance.java
@@ -20,7 +20,7 @@
  */
 final class PartitionAvoidance {
   private final Clock clock;
-  private final StateCache view;
+  private final StateCache cache;
   private final Membership membership;
 
   /** Granted tasks that were on no machine at the last update. */
@@ -29,9 +29,9 @@
   /** By job, the partitions to avoid and the time at which that ends. */
   private final Map<String, Map<Partition, Long>> avoidedUntil = new HashMap<>();
 
-  PartitionAvoidance(Clock clock, StateCache view, Membership membership) {
+  PartitionAvoidance(Clock clock, StateCache cache, Membership membership) {
     this.clock = clock;
-    this.view = view;
+    this.cache = cache;
     this.membership = membership;
   }
 
@@ -46,7 +46,7 @@
     for (Iterator<Map.Entry<TaskId, Partition>> it = unplaced.entrySet().iterator();
         it.hasNext(); ) {
       Map.Entry<TaskId, Partition> entry = it.next();
-      if (!view.unplaced(entry.getValue()).contains(entry.getKey())) {
+      if (!cache.unplaced(entry.getValue()).contains(entry.getKey())) {
         it.remove();
         if (returnedUnplaced(entry.getKey())) {
           avoidedUntil
@@ -56,7 +56,7 @@
       }
     }
     for (Partition partition : membership.partitions()) {
-      view.unplaced(partition).forEach(task -> unplaced.put(task, partition));
+      cache.unplaced(partition).forEach(task -> unplaced.put(task, partition));
     }
     avoidedUntil
         .values()
@@ -65,12 +65,12 @@
   }
 
   private boolean returnedUnplaced(TaskId task) {
-    StateCache.Entry<Job> job = view.jobs.get(task.job());
-    Progress progress = view.progress(task.job(), task.index() / Constants.CHUNK_TASKS);
+    StateCache.Entry<Job> job = cache.jobs.get(task.job());
+    Progress progress = cache.progress(task.job(), task.index() / Constants.CHUNK_TASKS);
     return job != null
         && job.value().open()
         && progress != null
         && !progress.done.get(task.index())
-        && !view.taskMachines.containsKey(task);
+        && !cache.taskMachines.containsKey(task);
   }
 }
--- a/src/main/java/org/baygw/control/quota/Preemption.java
+++ b/src/main/java/org/baygw/control/quota/Preemption.java
@@ -49,7 +49,7 @@
   private record PreemptionOption(List<Victim> victims, double cost) {}
 
   private final Settings settings;
-  private final StateCache view;
+  private final StateCache cache;
   private final Membership membership;
   private final CapacityCache capacityCache;
   private final JobWrites writes;
@@ -76,13 +76,13 @@
 
   Preemption(
       Settings settings,
-      StateCache view,
+      StateCache cache,
       Membership membership,
       CapacityCache capacityCache,
       JobWrites writes,
       ToDoubleFunction<TaskId> grantAgeS) {
     this.settings = settings;
-    this.view = view;
+    this.cache = cache;
     this.membership = membership;
     this.capacityCache = capacityCache;
     this.writes = writes;
@@ -101,7 +101,7 @@
    * @param guaranteed the unfinished jobs that fit into their teams' guarantees
    */
   void run(List<UnmetDemand> unmet, TeamUsage usage, Set<String> guaranteed) {
-    stopping.removeIf(task -> view.grant(task) == null);
+    stopping.removeIf(task -> cache.grant(task) == null);
     Pass pass = new Pass(usage, guaranteed);
     ListIterator<UnmetDemand> it = unmet.listIterator();
     while (it.hasNext() && pass.stoppedTasks < Constants.PREEMPT_MAX_TASKS) {
@@ -311,7 +311,7 @@
   }
 
   private int liveTasks(String job) {
-    Map<Integer, StateCache.Entry<Progress>> chunks = view.progress.get(job);
+    Map<Integer, StateCache.Entry<Progress>> chunks = cache.progress.get(job);
     return chunks == null
         ? 0
         : chunks.values().stream().mapToInt(chunk -> chunk.value().live.size()).sum();
@@ -341,11 +341,11 @@
   /** The machines on which tasks could be stopped. */
   private List<MachineCapacity> usableMachines() {
     List<MachineCapacity> found = new ArrayList<>();
-    for (StateCache.Entry<Machine> entry : view.machines.values()) {
+    for (StateCache.Entry<Machine> entry : cache.machines.values()) {
       Machine machine = entry.value();
       boolean usable =
           machine.condition() == Machine.Condition.OK
-              && !view.drains.containsKey(machine.name())
+              && !cache.drains.containsKey(machine.name())
               && membership.owner(machine.partition()) != null;
       MachineCapacity capacity = usable ? capacityCache.of(machine) : null;
       if (capacity != null) {
@@ -362,8 +362,8 @@
   private List<Victim> candidates(MachineCapacity capacity) {
     List<Victim> found = new ArrayList<>();
     for (TaskId task : capacity.machine().tasks().keySet()) {
-      StateCache.Entry<Job> job = view.jobs.get(task.job());
-      Progress.LiveTask live = view.grant(task);
+      StateCache.Entry<Job> job = cache.jobs.get(task.job());
+      Progress.LiveTask live = cache.grant(task);
       if (job == null || live == null) {
         continue;
       }
@@ -396,7 +396,8 @@
       int index = victim.task().index();
       int chunk = index / Constants.CHUNK_TASKS;
       if (updatedChunks.containsKey(chunk) || updatedChunks.size() < settings.state().txnOps()) {
-        Progress progress = updatedChunks.computeIfAbsent(chunk, c -> view.progress(job, c).copy());
+        Progress progress =
+            updatedChunks.computeIfAbsent(chunk, c -> cache.progress(job, c).copy());
         Progress.LiveTask live = progress.live.get(index);
         progress.live.put(index, new Progress.LiveTask(live.attempt(), live.partition(), true));
       }
@@ -404,7 +405,7 @@
     updatedChunks.forEach(
         (chunk, progress) -> {
           String key = Keys.progress(job, chunk);
-          txn.when(key, view.stamp(key)).put(key, Records.progress(progress));
+          txn.when(key, cache.stamp(key)).put(key, Records.progress(progress));
         });
     List<TaskId> tasks = victims.stream().map(Victim::task).toList();
     stopping.addAll(tasks);
--- a/src/main/java/org/baygw/control/quota/ProgressFolding.java
+++ b/src/main/java/org/baygw/control/quota/ProgressFolding.java
@@ -22,14 +22,14 @@
  */
 final class ProgressFolding {
   private final Settings settings;
-  private final StateCache view;
+  private final StateCache cache;
   private final Membership membership;
   private final JobWrites writes;
   private final int limitBytes;
 
-  ProgressFolding(Settings settings, StateCache view, Membership membership, JobWrites writes) {
+  ProgressFolding(Settings settings, StateCache cache, Membership membership, JobWrites writes) {
     this.settings = settings;
-    this.view = view;
+    this.cache = cache;
     this.membership = membership;
     this.writes = writes;
     this.limitBytes = (int) (settings.state().valueKb() * 1024 * Constants.RECORD_ENDED_SHARE);
@@ -37,9 +37,9 @@
 
   void run() {
     for (String job : jobsInLargeRecords()) {
-      TreeMap<Integer, StateCache.Entry<Progress>> chunks = view.progress.get(job);
+      TreeMap<Integer, StateCache.Entry<Progress>> chunks = cache.progress.get(job);
       boolean due =
-          view.jobs.containsKey(job)
+          cache.jobs.containsKey(job)
               && chunks != null
               && !writes.hasWriteInFlight(job)
               && writes.writesInFlight() <= Constants.FOLD_MAX_WRITES;
@@ -55,9 +55,9 @@
   private Set<String> jobsInLargeRecords() {
     Set<String> jobs = new LinkedHashSet<>();
     for (Partition partition : membership.partitions()) {
-      for (int i = 0; i < view.pages().count(partition); i++) {
-        if (view.pages().endedBytes(partition, i) > limitBytes) {
-          PartitionRecord page = view.pages().get(partition, i);
+      for (int i = 0; i < cache.pages().count(partition); i++) {
+        if (cache.pages().endedBytes(partition, i) > limitBytes) {
+          PartitionRecord page = cache.pages().get(partition, i);
           jobs.addAll(page.completedByJob().keySet());
           jobs.addAll(page.requeuedByJob().keySet());
         }
@@ -70,12 +70,12 @@
     Txn txn = new Txn().when(Keys.claim(Keys.LEADER), membership.leaderClaimStamp());
     chunks.forEach(
         (chunk, entry) -> {
-          Progress written = view.storedProgress(job, chunk);
+          Progress written = cache.storedProgress(job, chunk);
           if (written != null
               && differs(written, entry.value())
               && txn.writeCount() < settings.state().txnOps()) {
             String key = Keys.progress(job, chunk);
-            txn.when(key, view.stamp(key)).put(key, Records.progress(entry.value()));
+            txn.when(key, cache.stamp(key)).put(key, Records.progress(entry.value()));
           }
         });
     return txn;
--- a/src/main/java/org/baygw/control/quota/Scheduler.java
+++ b/src/main/java/org/baygw/control/quota/Scheduler.java
@@ -39,7 +39,7 @@
   private final Clock clock;
   private final Settings settings;
   private final Store store;
-  private final StateCache view;
+  private final StateCache cache;
   private final Membership membership;
   private final Replication replication;
   private final ZoneRules zones;
@@ -67,22 +67,22 @@
       Clock clock,
       Settings settings,
       Store store,
-      StateCache view,
+      StateCache cache,
       Membership membership,
       Replication replication) {
     this.replication = replication;
     this.clock = clock;
     this.settings = settings;
     this.store = store;
-    this.view = view;
+    this.cache = cache;
     this.membership = membership;
     this.zones = new ZoneRules(settings.zones());
-    this.capacityCache = new CapacityCache(view);
+    this.capacityCache = new CapacityCache(cache);
     this.writes = new JobWrites(store, this::requestPass);
-    this.avoidance = new PartitionAvoidance(clock, view, membership);
-    this.folding = new ProgressFolding(settings, view, membership, writes);
+    this.avoidance = new PartitionAvoidance(clock, cache, membership);
+    this.folding = new ProgressFolding(settings, cache, membership, writes);
     this.preemption =
-        new Preemption(settings, view, membership, capacityCache, writes, this::grantAgeS);
+        new Preemption(settings, cache, membership, capacityCache, writes, this::grantAgeS);
   }
 
   /** Tasks for which the latest pass found no capacity. */
@@ -96,7 +96,7 @@
    * capacity.
    */
   public boolean unmetIsCurrent() {
-    return changesAtLastPass == view.changeCount();
+    return changesAtLastPass == cache.changeCount();
   }
 
   public int unmetTasks() {
@@ -118,14 +118,14 @@
       return;
     }
     // A pass examines all machines; the added delay keeps its share of a processor bounded.
-    long machinesDelayMs = (long) (view.machines.size() * Constants.SCHEDULER_PASS_MS_PER_MACHINE);
+    long machinesDelayMs = (long) (cache.machines.size() * Constants.SCHEDULER_PASS_MS_PER_MACHINE);
     nextPass =
         now
             + machinesDelayMs
             + (store.writeTokensLow()
                 ? Constants.SCHEDULER_SCARCE_PASS_MS
                 : Constants.SCHEDULER_PASS_MS);
-    changesAtLastPass = view.changeCount();
+    changesAtLastPass = cache.changeCount();
     new Pass().run();
   }
 
@@ -169,7 +169,7 @@
     private FreeCapacity freeCapacity;
 
     void run() {
-      List<StateCache.Entry<Job>> jobs = new ArrayList<>(view.activeJobs.values());
+      List<StateCache.Entry<Job>> jobs = new ArrayList<>(cache.activeJobs.values());
       jobs.sort(
           Comparator.comparing((StateCache.Entry<Job> job) -> job.value().acceptedMs())
               .thenComparing(job -> job.value().spec().id()));
@@ -177,7 +177,7 @@
       folding.run();
       avoidance.update();
       queue.sort(QueuedJob.ORDER);
-      freeCapacity = new FreeCapacity(settings, view, membership, capacityCache, writes, zones);
+      freeCapacity = new FreeCapacity(settings, cache, membership, capacityCache, writes, zones);
       queue.forEach(this::schedule);
       removeOutdated();
       preemption.run(unmetInPass, usage, guaranteed);
@@ -189,7 +189,7 @@
       Job job = entry.value();
       JobSpec spec = job.spec();
       TreeMap<Integer, StateCache.Entry<Progress>> chunks =
-          view.progress.getOrDefault(spec.id(), new TreeMap<>());
+          cache.progress.getOrDefault(spec.id(), new TreeMap<>());
       int live = 0;
       int done = 0;
       int[] liveByZone = zones.emptyCounts();
@@ -310,7 +310,7 @@
     private void removeEndedGrants() {
       Map<String, List<Integer>> ended = new HashMap<>();
       for (TaskId task : grantedAt.keySet()) {
-        if (view.grant(task) == null && !writes.hasWriteInFlight(task.job())) {
+        if (cache.grant(task) == null && !writes.hasWriteInFlight(task.job())) {
           ended.computeIfAbsent(task.job(), k -> new ArrayList<>()).add(task.index());
         }
       }
@@ -346,7 +346,7 @@
         if (updatedChunks.size() >= settings.state().txnOps() / 2) {
           return true;
         }
-        Progress current = view.progress(job.id(), chunk);
+        Progress current = cache.progress(job.id(), chunk);
         int end = Math.min(spec.tasks(), (chunk + 1) * Constants.CHUNK_TASKS);
         for (int i = chunk * Constants.CHUNK_TASKS; i < end; i++) {
           if (current != null && (current.done.get(i) || current.live.containsKey(i))) {
@@ -394,7 +394,7 @@
       updatedChunks.forEach(
           (chunk, progress) -> {
             String key = Keys.progress(job.id(), chunk);
-            txn.when(key, view.stamp(key)).put(key, Records.progress(progress));
+            txn.when(key, cache.stamp(key)).put(key, Records.progress(progress));
           });
       LOG.debug("granting {} tasks of job {}", grantedCount, job.id());
       replication.tasksGranted(job.id(), grantedIndexes);
@@ -453,7 +453,7 @@
     for (Integer chunk : chunks.keySet()) {
       if (txn.writeCount() < settings.state().txnOps()) {
         String key = Keys.progress(id, chunk);
-        txn.when(key, view.stamp(key)).delete(key);
+        txn.when(key, cache.stamp(key)).delete(key);
       }
     }
     writes.write(id, Store.Urgency.MOVE, txn);
--- a/src/main/java/org/baygw/control/standby/Reconciliation.java
+++ b/src/main/java/org/baygw/control/standby/Reconciliation.java
@@ -14,12 +14,12 @@
  * replica has are dropped, and each difference is counted.
  */
 final class Reconciliation {
-  private final StateCache view;
+  private final StateCache cache;
   private final List<Decision> corrections = new ArrayList<>();
   private long differences;
 
-  private Reconciliation(StateCache view) {
-    this.view = view;
+  private Reconciliation(StateCache cache) {
+    this.cache = cache;
   }
 
   /**
@@ -30,20 +30,20 @@
    */
   record Result(RoleState state, long differences) {}
 
-  static Result ofPartition(Partition partition, RoleState state, StateCache view) {
-    Reconciliation reconciliation = new Reconciliation(view);
+  static Result ofPartition(Partition partition, RoleState state, StateCache cache) {
+    Reconciliation reconciliation = new Reconciliation(cache);
     state.machines().forEach(reconciliation::compareMachine);
-    for (String name : view.machinesOf(partition)) {
+    for (String name : cache.machinesOf(partition)) {
       MachineState machine = state.machines().getOrDefault(name, MachineState.UNKNOWN);
       reconciliation.countMissing(name, machine);
     }
     return reconciliation.apply(state);
   }
 
-  static Result ofLeader(RoleState state, StateCache view) {
-    Reconciliation reconciliation = new Reconciliation(view);
+  static Result ofLeader(RoleState state, StateCache cache) {
+    Reconciliation reconciliation = new Reconciliation(cache);
     for (String job : state.waitingSinceMs().keySet()) {
-      if (!view.activeJobs.containsKey(job)) {
+      if (!cache.activeJobs.containsKey(job)) {
         reconciliation.addCorrection(new Decision.JobServed(job), 1);
       }
     }
@@ -65,11 +65,11 @@
   }
 
   private void compareMachine(String name, MachineState machine) {
-    if (!view.machines.containsKey(name)) {
+    if (!cache.machines.containsKey(name)) {
       addCorrection(new Decision.MachineGone(name), 1);
       return;
     }
-    Set<TaskId> recorded = view.tasksOn(name).keySet();
+    Set<TaskId> recorded = cache.tasksOn(name).keySet();
     machine
         .launched()
         .forEach(
@@ -89,7 +89,7 @@
    * they have not been launched yet.
    */
   private void countMissing(String name, MachineState machine) {
-    for (TaskId task : view.tasksOn(name).keySet()) {
+    for (TaskId task : cache.tasksOn(name).keySet()) {
       TimedTasks known = machine.launched().getOrDefault(task.job(), TimedTasks.NONE);
       differences += allTasks(known).contains(task.index()) ? 0 : 1;
     }
@@ -98,7 +98,7 @@
   private void compareGrants(String job, TimedTasks tasks) {
     RoaringBitmap gone = new RoaringBitmap();
     for (int index : allTasks(tasks)) {
-      if (view.grant(new TaskId(job, index)) == null) {
+      if (cache.grant(new TaskId(job, index)) == null) {
         gone.add(index);
       }
     }
--- a/src/main/java/org/baygw/control/standby/RoleTable.java
+++ b/src/main/java/org/baygw/control/standby/RoleTable.java
@@ -32,7 +32,7 @@
   private final Settings settings;
   private final Features.Standby features;
   private final Membership membership;
-  private final StateCache view;
+  private final StateCache cache;
   private final Replica.Counters counters = new Replica.Counters();
   private final Map<Role, RoleEntry> entries = new TreeMap<>();
   private final Map<Partition, RoleEntry> byPartition = new HashMap<>();
@@ -49,12 +49,12 @@
       Settings settings,
       Features.Standby features,
       Membership membership,
-      StateCache view) {
+      StateCache cache) {
     this.clock = clock;
     this.settings = settings;
     this.features = features;
     this.membership = membership;
-    this.view = view;
+    this.cache = cache;
   }
 
   Collection<RoleEntry> entries() {
@@ -111,7 +111,7 @@
   }
 
   void tick() {
-    if (view.partitionsPerZone() == 0 || clock.now() < nextUpdate) {
+    if (cache.partitionsPerZone() == 0 || clock.now() < nextUpdate) {
       return;
     }
     nextUpdate = clock.now() + Constants.ROLE_UPDATE_MS;
@@ -124,7 +124,7 @@
 
   /** Creates the entries once: the number of partitions is durable and never changes. */
   private void makeEntries() {
-    if (view.partitionsPerZone() == 0) {
+    if (cache.partitionsPerZone() == 0) {
       return;
     }
     entries.put(Role.LEADER, new RoleEntry(Role.LEADER, null, features.suspectMs()));
@@ -137,8 +137,8 @@
 
   /** Standbys depend only on claims and members, so they are chosen again when those change. */
   private void chooseStandbys() {
-    if (ownershipChanges != view.ownershipChangeCount()) {
-      ownershipChanges = view.ownershipChangeCount();
+    if (ownershipChanges != cache.ownershipChangeCount()) {
+      ownershipChanges = cache.ownershipChangeCount();
       for (RoleEntry entry : entries.values()) {
         entry.standby = membership.successor(entry.role.name());
       }
@@ -203,8 +203,8 @@
     RoleState inherited = entry.replica == null ? RoleState.EMPTY : entry.replica.state();
     Reconciliation.Result result =
         entry.partition == null
-            ? Reconciliation.ofLeader(inherited, view)
-            : Reconciliation.ofPartition(entry.partition, inherited, view);
+            ? Reconciliation.ofLeader(inherited, cache)
+            : Reconciliation.ofPartition(entry.partition, inherited, cache);
     takeovers++;
     differences += entry.replica == null ? 0 : result.differences();
     entry.log =
--- a/src/main/java/org/baygw/control/standby/StandbyService.java
+++ b/src/main/java/org/baygw/control/standby/StandbyService.java
@@ -47,12 +47,12 @@
       Settings settings,
       Features.Standby features,
       Store store,
-      StateCache view,
+      StateCache cache,
       Membership membership) {
     this.clock = clock;
     this.out = out;
     this.membership = membership;
-    this.roles = new RoleTable(clock, settings, features, membership, view);
+    this.roles = new RoleTable(clock, settings, features, membership, cache);
     this.replicator = new Replicator(clock, out, settings, features, store, roles);
     this.handover = new Handover(clock, membership, new HandoverRoles());
     this.fence = new EmissionFence(membership::leaseValidUntil, handover::releasing);
--- a/src/main/java/org/baygw/control/workers/CancellationDeadline.java
+++ b/src/main/java/org/baygw/control/workers/CancellationDeadline.java
@@ -34,7 +34,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(CancellationDeadline.class);
 
   private final Clock clock;
-  private final StateCache view;
+  private final StateCache cache;
   private final Membership membership;
   private final TerminationEvidence evidence;
   private final Cloud cloud;
@@ -67,14 +67,14 @@
   CancellationDeadline(
       Clock clock,
       Settings settings,
-      StateCache view,
+      StateCache cache,
       Membership membership,
       TerminationEvidence evidence,
       Cloud cloud,
       CancellationWatermark watermark,
       Function<Machine, WorkerSession> ownedSession) {
     this.clock = clock;
-    this.view = view;
+    this.cache = cache;
     this.membership = membership;
     this.evidence = evidence;
     this.cloud = cloud;
@@ -107,13 +107,13 @@
    * return.
    */
   private List<String> findDueMachines() {
-    returned.retainAll(view.machines.keySet());
+    returned.retainAll(cache.machines.keySet());
     boolean outage = watermark.outageForMajority();
     Set<String> pending = new HashSet<>();
     Set<String> due = new LinkedHashSet<>();
-    for (StateCache.Entry<Job> job : view.activeJobs.values()) {
+    for (StateCache.Entry<Job> job : cache.activeJobs.values()) {
       String id = job.value().spec().id();
-      if (view.isCancelled(id)) {
+      if (cache.isCancelled(id)) {
         double share = elapsedShare(id);
         for (Map.Entry<TaskId, Set<String>> task : placements(id).entrySet()) {
           for (Machine machine : machinesWithoutProof(task.getKey(), task.getValue())) {
@@ -134,8 +134,8 @@
   private List<Machine> machinesWithoutProof(TaskId task, Set<String> names) {
     List<Machine> found = new ArrayList<>();
     for (String name : names) {
-      StateCache.Entry<Machine> machine = view.machines.get(name);
-      boolean gone = returned.contains(name) || view.drains.get(name) == StateCache.Drain.GONE;
+      StateCache.Entry<Machine> machine = cache.machines.get(name);
+      boolean gone = returned.contains(name) || cache.drains.get(name) == StateCache.Drain.GONE;
       if (machine != null && !gone && !provedGone(machine.value(), task)) {
         found.add(machine.value());
       }
@@ -168,18 +168,18 @@
 
   /** Upper bound on the share of the time for a cancellation that has passed, with clock error. */
   private double elapsedShare(String job) {
-    return (double) (clock.wall() - view.cancelledMs(job) + clockErrorMs) / cancelMs;
+    return (double) (clock.wall() - cache.cancelledMs(job) + clockErrorMs) / cancelMs;
   }
 
   /** The machines that each live task of a job may be on, according to the partitions' records. */
   private Map<TaskId, Set<String>> placements(String job) {
     Map<TaskId, Set<String>> found = new HashMap<>();
-    Map<Integer, StateCache.Entry<Progress>> chunks = view.progress.get(job);
+    Map<Integer, StateCache.Entry<Progress>> chunks = cache.progress.get(job);
     if (chunks != null) {
       for (StateCache.Entry<Progress> chunk : chunks.values()) {
         for (int index : chunk.value().live.keySet()) {
           TaskId task = new TaskId(job, index);
-          found.put(task, view.taskMachines.getOrDefault(task, Set.of()));
+          found.put(task, cache.taskMachines.getOrDefault(task, Set.of()));
         }
       }
     }
--- a/src/main/java/org/baygw/control/workers/ConsolidationRound.java
+++ b/src/main/java/org/baygw/control/workers/ConsolidationRound.java
@@ -91,7 +91,7 @@
    */
   Map<TaskId, String> tick(
       long now,
-      StateCache view,
+      StateCache cache,
       SchedulingParameters params,
       Supplier<List<MachineCapacity>> capacities,
       Supplier<Map<TaskId, Partition>> pending,
@@ -100,13 +100,13 @@
       Cached cached) {
     moves
         .entrySet()
-        .removeIf(e -> now > e.getValue().until() || !view.jobs.containsKey(e.getKey().job()));
+        .removeIf(e -> now > e.getValue().until() || !cache.jobs.containsKey(e.getKey().job()));
     if (search == null) {
       if (now < nextRound) {
         return Map.of();
       }
       nextRound = now + (long) (params.roundPeriodS() * 1000);
-      startSearch(view, params, capacities.get(), pending.get(), age, pinned, cached);
+      startSearch(cache, params, capacities.get(), pending.get(), age, pinned, cached);
       return Map.of();
     }
     if (search.step(Constants.SEARCH_NODES_PER_STEP) || search.nodes() >= params.searchNodes()) {
@@ -116,7 +116,7 @@
   }
 
   private void startSearch(
-      StateCache view,
+      StateCache cache,
       SchedulingParameters params,
       List<MachineCapacity> capacities,
       Map<TaskId, Partition> pending,
@@ -133,12 +133,12 @@
     int maxMoves = (int) Math.ceil(capacities.size() * params.moveShare());
     Map<Integer, List<TaskId>> movable =
         emptiableMachines(
-            view, params, capacities, age, pinned, maxMoves * Constants.ROUND_TASKS_PER_MOVE);
+            cache, params, capacities, age, pinned, maxMoves * Constants.ROUND_TASKS_PER_MOVE);
     for (int host = 0; host < capacities.size(); host++) {
       MachineCapacity capacity = capacities.get(host);
       double[] free = {capacity.freeCpus(), capacity.freeGpus(), capacity.freeMemoryGb()};
       for (TaskId task : movable.getOrDefault(host, List.of())) {
-        JobSpec spec = view.jobs.get(task.job()).value().spec();
+        JobSpec spec = cache.jobs.get(task.job()).value().spec();
         double[] load = {spec.cpus(), spec.gpus(), spec.memoryGb()};
         for (int k = 0; k < load.length; k++) {
           free[k] += load[k];
@@ -150,7 +150,7 @@
     movable.forEach(
         (host, hostTasks) -> {
           for (TaskId task : hostTasks) {
-            JobSpec spec = view.jobs.get(task.job()).value().spec();
+            JobSpec spec = cache.jobs.get(task.job()).value().spec();
             boolean[] allowed = new boolean[capacities.size()];
             for (int target = 0; target < allowed.length; target++) {
               var machine = capacities.get(target).machine();
@@ -172,7 +172,7 @@
         });
     pending.forEach(
         (task, partition) -> {
-          StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
+          StateCache.Entry<Job> jobEntry = cache.jobs.get(task.job());
           if (jobEntry != null && jobEntry.value().open()) {
             JobSpec spec = jobEntry.value().spec();
             boolean[] allowed = new boolean[capacities.size()];
@@ -204,7 +204,7 @@
    * its first choices last, so the machines that are cheapest to empty are tried before the others.
    */
   private static Map<Integer, List<TaskId>> emptiableMachines(
-      StateCache view,
+      StateCache cache,
       SchedulingParameters params,
       List<MachineCapacity> capacities,
       Age age,
@@ -219,7 +219,7 @@
       }
       boolean emptiable = true;
       for (TaskId task : hostTasks) {
-        StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
+        StateCache.Entry<Job> jobEntry = cache.jobs.get(task.job());
         emptiable &=
             jobEntry != null
                 && !jobEntry.value().spec().oneZone()
--- a/src/main/java/org/baygw/control/workers/EndedTasks.java
+++ b/src/main/java/org/baygw/control/workers/EndedTasks.java
@@ -23,17 +23,17 @@
   /**
    * Removes ended tasks that their job's progress includes, or whose job has no progress any more.
    */
-  static void removeRecorded(PartitionRecord page, StateCache view) {
+  static void removeRecorded(PartitionRecord page, StateCache cache) {
     removeMatching(
         page.completedByJob(),
         (job, index, attempt) -> {
-          Progress progress = view.storedProgress(job, index / Constants.CHUNK_TASKS);
+          Progress progress = cache.storedProgress(job, index / Constants.CHUNK_TASKS);
           return progress == null || progress.done.get(index);
         });
     removeMatching(
         page.requeuedByJob(),
         (job, index, attempt) -> {
-          Progress progress = view.storedProgress(job, index / Constants.CHUNK_TASKS);
+          Progress progress = cache.storedProgress(job, index / Constants.CHUNK_TASKS);
           return progress == null || !progress.isLive(index, attempt);
         });
   }
--- a/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
+++ b/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
@@ -44,7 +44,7 @@
 
   private final Clock clock;
   private final Settings settings;
-  private final StateCache view;
+  private final StateCache cache;
   private final Map<String, WorkerSession> sessions;
   private final ConsolidationRound rounds;
   private final CapacityCache capacityCache;
@@ -57,17 +57,17 @@
   FirstFitPlacer(
       Clock clock,
       Settings settings,
-      StateCache view,
+      StateCache cache,
       Map<String, WorkerSession> sessions,
       ConsolidationRound rounds,
       Replication replication) {
     this.clock = clock;
     this.settings = settings;
-    this.view = view;
+    this.cache = cache;
     this.sessions = sessions;
     this.rounds = rounds;
-    this.capacityCache = new CapacityCache(view);
-    this.failures = new TaskFailures(clock, view, replication);
+    this.capacityCache = new CapacityCache(cache);
+    this.failures = new TaskFailures(clock, cache, replication);
   }
 
   /** The recorded failures of tasks, which placement takes into account. */
@@ -88,7 +88,7 @@
     long now = clock.now();
     Map<String, Map<TaskId, Integer>> placements = new LinkedHashMap<>();
     Map<TaskId, Integer> returned = new LinkedHashMap<>();
-    Set<TaskId> unplaced = view.unplaced(partition);
+    Set<TaskId> unplaced = cache.unplaced(partition);
     unplacedSince.keySet().removeIf(task -> !isUnplaced(task));
     if (unplaced.isEmpty()) {
       return new Plan(placements, returned);
@@ -102,13 +102,13 @@
     String lastJob = null;
     String jobWithoutCapacity = null;
     for (TaskId task : tasks) {
-      StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
-      Progress.LiveTask grant = view.grant(task);
+      StateCache.Entry<Job> jobEntry = cache.jobs.get(task.job());
+      Progress.LiveTask grant = cache.grant(task);
       if (excluded.contains(task) || grant == null) {
         continue;
       }
       long since = unplacedSince.computeIfAbsent(task, k -> now);
-      boolean revoked = !view.shouldRun(task.job()) || grant.stopRequested();
+      boolean revoked = !cache.shouldRun(task.job()) || grant.stopRequested();
       JobSpec spec = revoked ? null : jobEntry.value().spec();
       MachineCapacity capacity = null;
       boolean sameMachine = false;
@@ -148,28 +148,28 @@
   }
 
   private boolean isUnplaced(TaskId task) {
-    Progress.LiveTask grant = view.grant(task);
-    return grant != null && view.unplaced(grant.partition()).contains(task);
+    Progress.LiveTask grant = cache.grant(task);
+    return grant != null && cache.unplaced(grant.partition()).contains(task);
   }
 
   private JobSpec.Priority priority(TaskId task) {
-    StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
+    StateCache.Entry<Job> jobEntry = cache.jobs.get(task.job());
     return jobEntry == null ? JobSpec.Priority.LOW : jobEntry.value().spec().priority();
   }
 
   List<MachineCapacity> capacities(Partition partition, long claim) {
     List<MachineCapacity> capacities = new ArrayList<>();
     Map<String, List<TaskId>> incoming = rounds.incomingTasks();
-    for (String name : view.machinesOf(partition)) {
+    for (String name : cache.machinesOf(partition)) {
       WorkerSession worker = sessions.get(name);
-      StateCache.Entry<Machine> entry = view.machines.get(name);
+      StateCache.Entry<Machine> entry = cache.machines.get(name);
       if (worker == null || worker.claim != claim || !placeable(worker, entry.value())) {
         continue;
       }
       MachineCapacity capacity = freeCapacity(worker, entry.value());
       if (capacity != null) {
         for (TaskId task : incoming.getOrDefault(name, List.of())) {
-          capacity.reserve(view.jobs.get(task.job()).value().spec());
+          capacity.reserve(cache.jobs.get(task.job()).value().spec());
         }
         capacities.add(capacity);
       }
@@ -183,7 +183,7 @@
         && !worker.missesResponses()
         && worker.noticeUntil == 0
         && machine.condition() == Machine.Condition.OK
-        && !view.drains.containsKey(machine.name())
+        && !cache.drains.containsKey(machine.name())
         && recentlyHeard(worker);
   }
 
@@ -198,7 +198,7 @@
       for (Map.Entry<TaskId, WorkerCodec.ReportedTask> reported : worker.reported.entrySet()) {
         if (reported.getValue().state() != WorkerCodec.State.ENDED
             && !machine.tasks().containsKey(reported.getKey())) {
-          StateCache.Entry<Job> jobEntry = view.jobs.get(reported.getKey().job());
+          StateCache.Entry<Job> jobEntry = cache.jobs.get(reported.getKey().job());
           if (jobEntry != null) {
             capacity.reserve(
                 jobEntry.value().spec()); // not in the record, but running until killed
--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -59,7 +59,7 @@
   private final Clock clock;
   private final Settings settings;
   private final Store store;
-  private final StateCache view;
+  private final StateCache cache;
   private final TerminationEvidence evidence;
   private final FirstFitPlacer placer;
   private final ConsolidationRound rounds;
@@ -82,7 +82,7 @@
    */
   private final class Draft implements FirstFitPlacer.RecordSpace {
     final Txn txn = new Txn().when(Keys.claim(partition.toString()), claim);
-    final int pages = view.pages().count(partition);
+    final int pages = cache.pages().count(partition);
     private final Map<Integer, PartitionRecord> copies = new HashMap<>();
     private final Map<Integer, Integer> sizes = new HashMap<>();
     final Set<Integer> changedPages = new LinkedHashSet<>();
@@ -102,8 +102,8 @@
     PartitionRecord editable(int page) {
       PartitionRecord copy = copies.get(page);
       if (copy == null) {
-        copy = view.pages().get(partition, page).copy();
-        EndedTasks.removeRecorded(copy, view);
+        copy = cache.pages().get(partition, page).copy();
+        EndedTasks.removeRecorded(copy, cache);
         copies.put(page, copy);
       }
       return copy;
@@ -113,7 +113,7 @@
     int size(int page) {
       Integer known = sizes.get(page);
       if (known == null) {
-        known = view.pages().bytes(partition, page);
+        known = cache.pages().bytes(partition, page);
         if (known > pageLimitBytes() * Constants.RECORD_FULL_SHARE) {
           known = editable(page).size(); // the copy leaves out ended tasks that progress includes
         }
@@ -181,7 +181,7 @@
 
     Map<TaskId, Integer> editableTasks(String machine) {
       markChanged(pageOf(machine));
-      return tasksOn.computeIfAbsent(machine, k -> new LinkedHashMap<>(view.tasksOn(machine)));
+      return tasksOn.computeIfAbsent(machine, k -> new LinkedHashMap<>(cache.tasksOn(machine)));
     }
 
     void addEnded(
@@ -214,10 +214,10 @@
           (page, m) ->
               m.forEach((job, l) -> EndedTasks.add(editable(page).requeuedByJob(), job, l)));
       // The first page holds the number of pages, which determines the page of each machine.
-      txn.when(Keys.record(partition, 0), view.stamp(Keys.record(partition, 0)));
+      txn.when(Keys.record(partition, 0), cache.stamp(Keys.record(partition, 0)));
       for (int page : changedPages) {
         String key = Keys.record(partition, page);
-        txn.when(key, view.stamp(key)).put(key, Records.partitionRecord(editable(page)));
+        txn.when(key, cache.stamp(key)).put(key, Records.partitionRecord(editable(page)));
       }
       return txn;
     }
@@ -226,7 +226,7 @@
   /** Maximum number of pages in one write: its other operations are for jobs and moves. */
   private int maxPagesPerWrite() {
     int maxPages = (int) Math.ceil(settings.state().txnOps() * Constants.RECORD_WRITE_SHARE);
-    return Math.min(maxPages, view.pages().count(partition));
+    return Math.min(maxPages, cache.pages().count(partition));
   }
 
   PartitionWriter(
@@ -235,7 +235,7 @@
       Clock clock,
       Settings settings,
       Store store,
-      StateCache view,
+      StateCache cache,
       TerminationEvidence evidence,
       FirstFitPlacer placer,
       ConsolidationRound rounds,
@@ -245,7 +245,7 @@
     this.clock = clock;
     this.settings = settings;
     this.store = store;
-    this.view = view;
+    this.cache = cache;
     this.evidence = evidence;
     this.placer = placer;
     this.rounds = rounds;
@@ -268,7 +268,7 @@
     if (queued || writing) {
       return;
     }
-    boolean placementDue = !view.unplaced(partition).isEmpty() && now >= nextPlacement;
+    boolean placementDue = !cache.unplaced(partition).isEmpty() && now >= nextPlacement;
     if (dirty.isEmpty() && !placementDue) {
       return;
     }
@@ -358,7 +358,7 @@
     if (!splitNeeded()) {
       return null;
     }
-    int pagesBefore = view.pages().count(partition);
+    int pagesBefore = cache.pages().count(partition);
     Draft draft = new Draft();
     draft.markChanged(0);
     int pagesAfter = pagesBefore;
@@ -388,11 +388,11 @@
    * order, so a single large page alone would have all pages before it split first.
    */
   private boolean splitNeeded() {
-    int pages = view.pages().count(partition);
+    int pages = cache.pages().count(partition);
     int maxBytes = 0;
     int totalBytes = 0;
     for (int page = 0; page < pages; page++) {
-      int bytes = view.pages().assignmentBytes(partition, page);
+      int bytes = cache.pages().assignmentBytes(partition, page);
       maxBytes = Math.max(maxBytes, bytes);
       totalBytes += bytes;
     }
@@ -421,19 +421,19 @@
 
   /** Removes tasks that are proved to have left a machine, and updates the machine's condition. */
   private void applyMachineChanges(Draft draft, String name) {
-    StateCache.Entry<Machine> entry = view.machines.get(name);
+    StateCache.Entry<Machine> entry = cache.machines.get(name);
     if (entry == null) {
       return;
     }
     Machine machine = entry.value();
     WorkerSession worker = context.session(name);
-    boolean gone = view.drains.get(name) == StateCache.Drain.GONE;
+    boolean gone = cache.drains.get(name) == StateCache.Drain.GONE;
     Map<TaskId, TerminationEvidence.End> ends = evidence.endedTasks(worker, machine);
     for (Map.Entry<TaskId, TerminationEvidence.End> end : ends.entrySet()) {
       TaskId task = end.getKey();
       int attempt = draft.editableTasks(name).remove(task);
       tasksInWrite.add(task);
-      if (view.grant(task) != null && view.grant(task).attempt() == attempt) {
+      if (cache.grant(task) != null && cache.grant(task).attempt() == attempt) {
         if (end.getValue() == TerminationEvidence.End.DONE) {
           draft.addEnded(draft.doneTasks, draft.pageOf(name), task, 1);
         } else if (gone || !moveTask(draft, worker, task)) {
@@ -476,12 +476,12 @@
    */
   private boolean moveTask(Draft draft, WorkerSession from, TaskId task) {
     String name = rounds.target(task, from.name);
-    StateCache.Entry<Machine> entry = name == null ? null : view.machines.get(name);
-    StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
+    StateCache.Entry<Machine> entry = name == null ? null : cache.machines.get(name);
+    StateCache.Entry<Job> jobEntry = cache.jobs.get(task.job());
     if (entry == null
         || draft.moveTarget != null
-        || !view.shouldRun(task.job())
-        || view.grant(task).stopRequested()) {
+        || !cache.shouldRun(task.job())
+        || cache.grant(task).stopRequested()) {
       return false;
     }
     Machine targetMachine = entry.value();
@@ -502,31 +502,31 @@
     }
     int chunk = task.index() / Constants.CHUNK_TASKS;
     String progressKey = Keys.progress(task.job(), chunk);
-    Progress progress = view.progress(task.job(), chunk).copy();
+    Progress progress = cache.progress(task.job(), chunk).copy();
     progress.requeue(task.index());
     int attempt = progress.grant(task.index(), targetMachine.partition());
     draft
         .txn
-        .when(progressKey, view.stamp(progressKey))
+        .when(progressKey, cache.stamp(progressKey))
         .put(progressKey, Records.progress(progress))
         .when(
             Keys.drain(targetMachine.partition()),
-            view.stamp(Keys.drain(targetMachine.partition())))
+            cache.stamp(Keys.drain(targetMachine.partition())))
         .when(Keys.job(task.job()), jobEntry.stamp());
     if (targetWriter == this) {
       draft.editableTasks(name).put(task, attempt);
     } else {
-      int page = PartitionRecord.pageOf(name, view.pages().count(targetMachine.partition()));
+      int page = PartitionRecord.pageOf(name, cache.pages().count(targetMachine.partition()));
       String firstPageKey = Keys.record(targetMachine.partition(), 0);
       String pageKey = Keys.record(targetMachine.partition(), page);
-      PartitionRecord targetPage = view.pages().get(targetMachine.partition(), page).copy();
-      Map<TaskId, Integer> tasksOnTarget = new LinkedHashMap<>(view.tasksOn(name));
+      PartitionRecord targetPage = cache.pages().get(targetMachine.partition(), page).copy();
+      Map<TaskId, Integer> tasksOnTarget = new LinkedHashMap<>(cache.tasksOn(name));
       tasksOnTarget.put(task, attempt);
       targetPage.tasksByMachine().put(name, PartitionRecord.tasks(tasksOnTarget));
       draft
           .txn
-          .when(firstPageKey, view.stamp(firstPageKey))
-          .when(pageKey, view.stamp(pageKey))
+          .when(firstPageKey, cache.stamp(firstPageKey))
+          .when(pageKey, cache.stamp(pageKey))
           .when(Keys.claim(targetMachine.partition().toString()), targetWriter.claim)
           .put(pageKey, Records.partitionRecord(targetPage));
       draft.moveTarget = targetWriter;
@@ -545,10 +545,10 @@
         .values()
         .forEach(m -> m.forEach((job, l) -> ended.merge(job, l.size(), Integer::sum)));
     for (String job : ended.keySet()) {
-      StateCache.Entry<Job> jobEntry = view.jobs.get(job);
+      StateCache.Entry<Job> jobEntry = cache.jobs.get(job);
       if (jobEntry == null
           || !jobEntry.value().open()
-          || view.doneCount(job) + ended.get(job) < jobEntry.value().spec().tasks()) {
+          || cache.doneCount(job) + ended.get(job) < jobEntry.value().spec().tasks()) {
         continue;
       }
       int writes = 1 + jobEntry.value().progressChunks();
@@ -592,7 +592,7 @@
       return;
     }
     // No task may be placed on a machine once its return has been decided.
-    draft.txn.when(Keys.drain(partition), view.stamp(Keys.drain(partition)));
+    draft.txn.when(Keys.drain(partition), cache.stamp(Keys.drain(partition)));
     plan.placements()
         .forEach(
             (name, tasks) -> {
@@ -602,15 +602,15 @@
               for (TaskId task : tasks.keySet()) {
                 // The job must not have been cancelled. The grant needs no condition: while the job
                 // is open, only this record can return it.
-                draft.txn.when(Keys.job(task.job()), view.stamp(Keys.job(task.job())));
-                Job job = view.jobs.get(task.job()).value();
+                draft.txn.when(Keys.job(task.job()), cache.stamp(Keys.job(task.job())));
+                Job job = cache.jobs.get(task.job()).value();
                 LOG.debug(
                     "placing task {} ({}) on {} after {} ms, image cached: {}",
                     task,
                     job.spec().jobClass(),
                     name,
                     clock.wall() - job.acceptedMs(),
-                    view.machines.get(name).value().images().contains(job.spec().image()));
+                    cache.machines.get(name).value().images().contains(job.spec().image()));
               }
             });
   }
--- a/src/main/java/org/baygw/control/workers/TaskFailures.java
+++ b/src/main/java/org/baygw/control/workers/TaskFailures.java
@@ -27,14 +27,14 @@
   }
 
   private final Clock clock;
-  private final StateCache view;
+  private final StateCache cache;
   private final Replication replication;
   private final Map<String, Backoff> backoffs = new HashMap<>();
 
-  TaskFailures(Clock clock, StateCache view, Replication replication) {
+  TaskFailures(Clock clock, StateCache cache, Replication replication) {
     this.clock = clock;
     this.replication = replication;
-    this.view = view;
+    this.cache = cache;
   }
 
   /** Whether the job's next retry has to wait. */
@@ -95,7 +95,7 @@
    * most.
    */
   private boolean succeeds(String id) {
-    StateCache.Entry<Job> job = view.jobs.get(id);
+    StateCache.Entry<Job> job = cache.jobs.get(id);
     if (job == null) {
       return false;
     }
@@ -103,6 +103,6 @@
       Backoff backoff = backoffs.get(id);
       return backoff == null || backoff.machines.size() < 2;
     }
-    return job.value().state() == Job.State.DONE || view.doneCount(id) > 0;
+    return job.value().state() == Job.State.DONE || cache.doneCount(id) > 0;
   }
 }
--- a/src/main/java/org/baygw/control/workers/TerminationEvidence.java
+++ b/src/main/java/org/baygw/control/workers/TerminationEvidence.java
@@ -22,12 +22,12 @@
   }
 
   private final Clock clock;
-  private final StateCache view;
+  private final StateCache cache;
   private final long leaseMs;
 
-  TerminationEvidence(Clock clock, Settings settings, StateCache view) {
+  TerminationEvidence(Clock clock, Settings settings, StateCache cache) {
     this.clock = clock;
-    this.view = view;
+    this.cache = cache;
     this.leaseMs = (long) (settings.workers().leaseS() * 1000 * (1 + Constants.CLOCK_DRIFT));
   }
 
@@ -71,7 +71,7 @@
 
   /** How a recorded task left the machine; null if that is not proved. */
   End endOf(WorkerSession worker, Machine machine, TaskId task, int attempt) {
-    if (view.drains.get(machine.name()) == StateCache.Drain.GONE) {
+    if (cache.drains.get(machine.name()) == StateCache.Drain.GONE) {
       return End.NOT_DONE; // the cloud has taken the machine back with all its tasks
     }
     WorkerCodec.ReportedTask reported = worker.reported.get(task);
@@ -90,7 +90,7 @@
     // next owner would not know of it.
     return absent
             && (worker.leaseExpired
-                ? !view.isCancelled(task.job())
+                ? !cache.isCancelled(task.job())
                 : !shouldRun(task, attempt, machine))
         ? End.NOT_DONE
         : null;
@@ -98,10 +98,10 @@
 
   /** Whether the task should keep running on the machine under this attempt. */
   boolean shouldRun(TaskId task, int attempt, Machine machine) {
-    if (!view.shouldRun(task.job())) {
+    if (!cache.shouldRun(task.job())) {
       return false;
     }
-    Progress.LiveTask grant = view.grant(task);
+    Progress.LiveTask grant = cache.grant(task);
     return grant != null
         && grant.attempt() == attempt
         && !grant.stopRequested()
--- a/src/main/java/org/baygw/control/workers/WorkerCommands.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCommands.java
@@ -30,7 +30,7 @@
   private final Clock clock;
   private final Outbox out;
   private final Settings settings;
-  private final StateCache view;
+  private final StateCache cache;
   private final TerminationEvidence evidence;
   private final FirstFitPlacer placer;
   private final ConsolidationRound rounds;
@@ -49,7 +49,7 @@
       Clock clock,
       Outbox out,
       Settings settings,
-      StateCache view,
+      StateCache cache,
       TerminationEvidence evidence,
       FirstFitPlacer placer,
       ConsolidationRound rounds,
@@ -60,7 +60,7 @@
     this.clock = clock;
     this.out = out;
     this.settings = settings;
-    this.view = view;
+    this.cache = cache;
     this.evidence = evidence;
     this.placer = placer;
     this.rounds = rounds;
@@ -232,7 +232,7 @@
         || !worker.claimConfirmed()
         || worker.leaseExpired
         || worker.missesResponses()
-        || view.drains.containsKey(machine.name())) {
+        || cache.drains.containsKey(machine.name())) {
       return orders;
     }
     for (Map.Entry<TaskId, Integer> entry : machine.tasks().entrySet()) {
@@ -261,8 +261,8 @@
       Machine machine,
       boolean onRecord,
       PartitionWriter writer) {
-    StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
-    boolean runs = view.shouldRun(task.job());
+    StateCache.Entry<Job> jobEntry = cache.jobs.get(task.job());
+    boolean runs = cache.shouldRun(task.job());
     if (!onRecord || !runs) {
       return writer.inWrite(task) && runs ? null : Double.valueOf(0);
     }
@@ -274,10 +274,10 @@
         && rounds.target(task, machine.name()) != null) {
       return spec.checkpoints() ? spec.graceS() : 0;
     }
-    if (view.cordons.contains(machine.name()) && spec.service()) {
+    if (cache.cordons.contains(machine.name()) && spec.service()) {
       return 0.0; // drained by an operator: replicas move at once, other tasks may finish
     }
-    boolean leaving = worker.noticeUntil > 0 || view.cordons.contains(machine.name());
+    boolean leaving = worker.noticeUntil > 0 || cache.cordons.contains(machine.name());
     if (leaving && spec.checkpoints() && reported.state() != WorkerCodec.State.SAVING) {
       return spec.graceS(); // save before the machine is taken
     }
@@ -351,9 +351,9 @@
   }
 
   private void recordLaunch(WorkerSession worker, TaskId task) {
-    StateCache.Entry<Job> jobEntry = view.jobs.get(task.job());
+    StateCache.Entry<Job> jobEntry = cache.jobs.get(task.job());
     boolean firstLaunch = worker.launchedAt.put(task, clock.now()) == null;
-    StateCache.Entry<Machine> machine = view.machines.get(worker.name);
+    StateCache.Entry<Machine> machine = cache.machines.get(worker.name);
     if (firstLaunch && machine != null) {
       replication.taskLaunched(machine.value().partition(), worker.name, task);
     }
--- a/src/main/java/org/baygw/control/workers/WorkerReachability.java
+++ b/src/main/java/org/baygw/control/workers/WorkerReachability.java
@@ -20,18 +20,18 @@
   private final Clock clock;
   private final Outbox out;
   private final Settings settings;
-  private final StateCache view;
+  private final StateCache cache;
   private final Membership membership;
   private long lastHeard;
   private long nextProbe;
   private int probeCount;
 
   WorkerReachability(
-      Clock clock, Outbox out, Settings settings, StateCache view, Membership membership) {
+      Clock clock, Outbox out, Settings settings, StateCache cache, Membership membership) {
     this.clock = clock;
     this.out = out;
     this.settings = settings;
-    this.view = view;
+    this.cache = cache;
     this.membership = membership;
   }
 
@@ -63,7 +63,7 @@
     int ownMachines = 0;
     for (Partition partition : membership.partitions()) {
       if (partition.zone().equals(settings.zone()) && membership.heldClaimStamp(partition) != 0) {
-        ownMachines += view.machinesOf(partition).size();
+        ownMachines += cache.machinesOf(partition).size();
       }
     }
     if (ownMachines < Constants.CUT_OFF_MIN_MACHINES
@@ -86,7 +86,7 @@
     List<String> addrs = new ArrayList<>();
     for (Partition partition : membership.partitions()) {
       if (partition.zone().equals(settings.zone())) {
-        view.machinesOf(partition).forEach(m -> addrs.add(view.machines.get(m).value().addr()));
+        cache.machinesOf(partition).forEach(m -> addrs.add(cache.machines.get(m).value().addr()));
       }
     }
     if (addrs.isEmpty()) {
--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -43,7 +43,7 @@
   private final Outbox out;
   private final Settings settings;
   private final Store store;
-  private final StateCache view;
+  private final StateCache cache;
   private final Membership membership;
   private final CancellationWatermark watermark;
   private final Replication replication;
@@ -72,7 +72,7 @@
       Outbox out,
       Settings settings,
       Store store,
-      StateCache view,
+      StateCache cache,
       Membership membership,
       CancellationWatermark watermark,
       Cloud cloud,
@@ -83,20 +83,20 @@
     this.out = out;
     this.settings = settings;
     this.store = store;
-    this.view = view;
+    this.cache = cache;
     this.membership = membership;
-    this.reachability = new WorkerReachability(clock, out, settings, view, membership);
-    this.evidence = new TerminationEvidence(clock, settings, view);
+    this.reachability = new WorkerReachability(clock, out, settings, cache, membership);
+    this.evidence = new TerminationEvidence(clock, settings, cache);
     this.deadline =
         new CancellationDeadline(
-            clock, settings, view, membership, evidence, cloud, watermark, this::ownedSession);
-    this.placer = new FirstFitPlacer(clock, settings, view, sessions, rounds, replication);
+            clock, settings, cache, membership, evidence, cloud, watermark, this::ownedSession);
+    this.placer = new FirstFitPlacer(clock, settings, cache, sessions, rounds, replication);
     this.commands =
         new WorkerCommands(
             clock,
             out,
             settings,
-            view,
+            cache,
             evidence,
             placer,
             rounds,
@@ -119,7 +119,7 @@
                       "malformed report: host, yard, stint or tick is missing or invalid")));
       return;
     }
-    if (!store.loaded() || view.partitionsPerZone() == 0) {
+    if (!store.loaded() || cache.partitionsPerZone() == 0) {
       String likely = membership.likelyOwner(report.machine(), report.zone());
       if (likely != null) {
         out.answer(request, 421, Json.bytes(WorkerCodec.redirect(likely)));
@@ -147,7 +147,7 @@
       return;
     }
     if (!worker.newer(report.session(), report.tick())
-        || view.drains.get(report.machine()) == StateCache.Drain.GONE
+        || cache.drains.get(report.machine()) == StateCache.Drain.GONE
         || goneMachines.contains(report.machine())) {
       out.answer(
           request,
@@ -157,7 +157,7 @@
     }
     worker.countMissedResponses(report, clock.now(), evidence.leaseMs());
     acceptReport(worker, report, true);
-    StateCache.Entry<Machine> entry = view.machines.get(worker.name);
+    StateCache.Entry<Machine> entry = cache.machines.get(worker.name);
     PartitionWriter writer = writer(partition, claim);
     if (entry == null) {
       register(worker, report);
@@ -187,7 +187,7 @@
   }
 
   public void tick() {
-    if (!store.loaded() || view.partitionsPerZone() == 0) {
+    if (!store.loaded() || cache.partitionsPerZone() == 0) {
       return;
     }
     long now = clock.now();
@@ -200,9 +200,9 @@
     reachability.tick();
     commands.beginTick();
     boolean checkAll = now >= nextCheck || ownershipChanged();
-    if (checkAll || view.changeCount() != checkedChanges) {
-      checkedChanges = view.changeCount();
-      view.takeChangedMachines().forEach(m -> checkMachine(m, true));
+    if (checkAll || cache.changeCount() != checkedChanges) {
+      checkedChanges = cache.changeCount();
+      cache.takeChangedMachines().forEach(m -> checkMachine(m, true));
       if (checkAll) {
         nextCheck = now + Constants.MACHINE_CHECK_MS;
         boolean fullCheck = now >= nextFullCheck;
@@ -210,7 +210,7 @@
         sessions.values().removeIf(worker -> !worker.recordWriteInProgress && !owns(worker));
         for (Partition partition : membership.partitions()) {
           if (membership.heldClaimStamp(partition) != 0) {
-            List.copyOf(view.machinesOf(partition)).forEach(m -> checkMachine(m, fullCheck));
+            List.copyOf(cache.machinesOf(partition)).forEach(m -> checkMachine(m, fullCheck));
           }
         }
       }
@@ -241,7 +241,7 @@
   }
 
   private void checkMachine(String name, boolean fullCheck) {
-    StateCache.Entry<Machine> entry = view.machines.get(name);
+    StateCache.Entry<Machine> entry = cache.machines.get(name);
     long claim = entry == null ? 0 : membership.heldClaimStamp(entry.value().partition());
     if (claim == 0) {
       return;
@@ -252,7 +252,7 @@
       worker.addr = machine.addr();
     }
     PartitionWriter writer = writer(machine.partition(), claim);
-    if (view.drains.get(name) == StateCache.Drain.GONE) {
+    if (cache.drains.get(name) == StateCache.Drain.GONE) {
       if (goneMachines.add(name)) {
         replication.machineGone(machine.partition(), name);
       }
@@ -271,7 +271,7 @@
   }
 
   private Machine.Condition condition(WorkerSession worker, Machine machine) {
-    if (view.drains.containsKey(machine.name())) {
+    if (cache.drains.containsKey(machine.name())) {
       return machine.condition();
     } else if (worker.sick) {
       return Machine.Condition.SICK;
@@ -282,7 +282,7 @@
       return worker.missesResponses() || reachability.silenceIsConclusive()
           ? Machine.Condition.SILENT
           : machine.condition();
-    } else if (worker.noticeUntil > 0 || view.cordons.contains(machine.name())) {
+    } else if (worker.noticeUntil > 0 || cache.cordons.contains(machine.name())) {
       return Machine.Condition.LEAVING;
     }
     return worker.lastHeard > 0 ? Machine.Condition.OK : machine.condition();
@@ -319,13 +319,13 @@
     Map<TaskId, String> placed =
         rounds.tick(
             clock.now(),
-            view,
-            view.params,
+            cache,
+            cache.params,
             this::candidates,
             this::pendingTasks,
             this::ageS,
             this::pinned,
-            (machine, image) -> view.machines.get(machine).value().images().contains(image));
+            (machine, image) -> cache.machines.get(machine).value().images().contains(image));
     if (!placed.isEmpty()) {
       placer.preferMachines(placed);
     }
@@ -352,7 +352,7 @@
       long claim = membership.heldClaimStamp(partition);
       if (claim != 0) {
         PartitionWriter writer = writer(partition, claim);
-        view.unplaced(partition).stream()
+        cache.unplaced(partition).stream()
             .filter(t -> !writer.inWrite(t))
             .forEach(t -> found.put(t, partition));
       }
@@ -366,7 +366,7 @@
    * so that its age never prevents a move.
    */
   private double ageS(String machine, TaskId task) {
-    if (view.jobs.get(task.job()).value().spec().service()) {
+    if (cache.jobs.get(task.job()).value().spec().service()) {
       return 0;
     }
     Long launchedAt = sessions.get(machine).launchedAt.get(task);
@@ -379,7 +379,7 @@
   }
 
   private boolean owns(WorkerSession worker) {
-    StateCache.Entry<Machine> entry = view.machines.get(worker.name);
+    StateCache.Entry<Machine> entry = cache.machines.get(worker.name);
     return entry != null && membership.heldClaimStamp(entry.value().partition()) == worker.claim
         || clock.now() - worker.createdAt < Constants.UNREGISTERED_MS && entry == null;
   }
@@ -406,7 +406,7 @@
    * worker's address and session, launch times, failures, and whether the machine is sick.
    */
   private void inherit(WorkerSession worker) {
-    StateCache.Entry<Machine> machine = view.machines.get(worker.name);
+    StateCache.Entry<Machine> machine = cache.machines.get(worker.name);
     Replication.InheritedWorker inherited =
         machine == null
             ? null
@@ -433,7 +433,7 @@
               clock,
               settings,
               store,
-              view,
+              cache,
               evidence,
               placer,
               rounds,
@@ -478,7 +478,7 @@
   }
 
   private Partition partitionOf(WorkerCodec.Report report) {
-    return Partition.of(report.machine(), report.zone(), view.partitionsPerZone());
+    return Partition.of(report.machine(), report.zone(), cache.partitionsPerZone());
   }
 
   /** Applies a report, whether the worker sent it by itself or as the answer to a call. */
@@ -565,7 +565,7 @@
     } else if (worker.newer(report.session(), report.tick()) && !worker.leaseExpired) {
       worker.missedResponses = 0; // the worker answered, so messages reach it
       acceptReport(worker, report, false);
-      StateCache.Entry<Machine> entry = view.machines.get(worker.name);
+      StateCache.Entry<Machine> entry = cache.machines.get(worker.name);
       long claim = entry == null ? 0 : membership.heldClaimStamp(entry.value().partition());
       if (claim == worker.claim && claim != 0) {
         PartitionWriter writer = writer(entry.value().partition(), claim);
