--- a/src/main/java/org/baygw/control/membership/Membership.java
+++ b/src/main/java/org/baygw/control/membership/Membership.java
@@ -234,9 +234,9 @@
   /** The label of the controller that owns the partition, or null. */
   public String owner(Partition partition) {
     StateCache.Entry<StateCache.Claim> claim = cache.claims.get(partition.toString());
-    boolean over =
+    boolean ended =
         claim == null || claim.stamp() <= supersededClaims.getOrDefault(partition.toString(), 0L);
-    return over ? null : claim.value().owner();
+    return ended ? null : claim.value().owner();
   }
 
   /** Handles the passing of time and changes of the state cache. */
--- a/src/main/java/org/baygw/control/membership/PartitionAssignment.java
+++ b/src/main/java/org/baygw/control/membership/PartitionAssignment.java
@@ -21,7 +21,7 @@
   private final StateCache stateCache;
 
   /** Cached assignments by the controllers and zones that they were computed for. */
-  private final Map<Set<String>, Map<Partition, String>> cache = new HashMap<>();
+  private final Map<Set<String>, Map<Partition, String>> assignments = new HashMap<>();
 
   PartitionAssignment(Settings settings, StateCache stateCache) {
     this.settings = settings;
@@ -30,13 +30,14 @@
 
   /** The owner of each partition when the partitions are divided among these controllers. */
   Map<Partition, String> ownersAmong(Set<String> controllers) {
-    if (cache.size() > Constants.CACHED_ASSIGNMENTS) {
-      cache.clear();
+    if (assignments.size() > Constants.CACHED_ASSIGNMENTS) {
+      assignments.clear();
     }
     Set<String> key = new HashSet<>();
     controllers.forEach(label -> key.add(label + "|" + zoneOf(label)));
     key.add(String.valueOf(stateCache.partitionsPerZone()));
-    return cache.computeIfAbsent(key, k -> assign(controllers, stateCache.partitionsPerZone()));
+    return assignments.computeIfAbsent(
+        key, k -> assign(controllers, stateCache.partitionsPerZone()));
   }
 
   /**
--- a/src/main/java/org/baygw/control/model/Progress.java
+++ b/src/main/java/org/baygw/control/model/Progress.java
@@ -37,10 +37,10 @@
   }
 
   /** Grants a task and returns the number of its attempt. */
-  public int grant(int index, Partition part) {
+  public int grant(int index, Partition partition) {
     Integer last = lastAttempts.remove(index);
     int attempt = last == null ? 1 : last + 1;
-    live.put(index, new LiveTask(attempt, part, false));
+    live.put(index, new LiveTask(attempt, partition, false));
     return attempt;
   }
 
--- a/src/main/java/org/baygw/control/store/Keys.java
+++ b/src/main/java/org/baygw/control/store/Keys.java
@@ -25,12 +25,12 @@
   }
 
   /** Page of a partition's record, which has the tasks on the partition's machines. */
-  public static String record(Partition part, int page) {
-    return ROOT + "run/" + part + (page == 0 ? "" : "/" + page);
+  public static String record(Partition partition, int page) {
+    return ROOT + "run/" + partition + (page == 0 ? "" : "/" + page);
   }
 
-  public static String claim(String name) {
-    return ROOT + "claim/" + name;
+  public static String claim(String role) {
+    return ROOT + "claim/" + role;
   }
 
   public static String member(String label) {
@@ -42,8 +42,8 @@
   }
 
   /** Machines of a partition that are being drained. */
-  public static String drain(Partition part) {
-    return ROOT + "drain/" + part;
+  public static String drain(Partition partition) {
+    return ROOT + "drain/" + partition;
   }
 
   /** Marks a machine that an operator wants emptied and returned. */
--- a/src/main/java/org/baygw/control/store/PartitionPages.java
+++ b/src/main/java/org/baygw/control/store/PartitionPages.java
@@ -23,38 +23,38 @@
   private final Map<Partition, TreeMap<Integer, Page>> pages = new HashMap<>();
 
   /** Number of pages of a partition's record. */
-  public int count(Partition part) {
-    return get(part, 0).pageCount();
+  public int count(Partition partition) {
+    return get(partition, 0).pageCount();
   }
 
   /** Page of a partition's record; empty if it does not exist. */
-  public PartitionRecord get(Partition part, int page) {
-    return page(part, page).record();
+  public PartitionRecord get(Partition partition, int page) {
+    return page(partition, page).record();
   }
 
   /** Estimated size of a page. */
-  public int bytes(Partition part, int page) {
-    Page found = page(part, page);
+  public int bytes(Partition partition, int page) {
+    Page found = page(partition, page);
     return found.assignmentBytes() + found.endedBytes();
   }
 
   /** Estimated size of the machines' tasks and conditions on a page. */
-  public int assignmentBytes(Partition part, int page) {
-    return page(part, page).assignmentBytes();
+  public int assignmentBytes(Partition partition, int page) {
+    return page(partition, page).assignmentBytes();
   }
 
   /** Estimated size of the ended tasks on a page. */
-  public int endedBytes(Partition part, int page) {
-    return page(part, page).endedBytes();
+  public int endedBytes(Partition partition, int page) {
+    return page(partition, page).endedBytes();
   }
 
-  private Page page(Partition part, int page) {
-    return pages.getOrDefault(part, NO_PAGES).getOrDefault(page, Page.EMPTY);
+  private Page page(Partition partition, int page) {
+    return pages.getOrDefault(partition, NO_PAGES).getOrDefault(page, Page.EMPTY);
   }
 
   /** Replaces a page and returns the former one. */
-  PartitionRecord put(Partition part, int page, PartitionRecord next) {
-    Page old = pages.computeIfAbsent(part, k -> new TreeMap<>()).put(page, Page.of(next));
+  PartitionRecord put(Partition partition, int page, PartitionRecord next) {
+    Page old = pages.computeIfAbsent(partition, k -> new TreeMap<>()).put(page, Page.of(next));
     return old == null ? PartitionRecord.EMPTY : old.record();
   }
 
@@ -62,8 +62,8 @@
    * First result from the pages of a partition's record that is not null, or null. A machine is on
    * one page only, except while all keys are being listed again.
    */
-  String find(Partition part, Function<PartitionRecord, String> lookup) {
-    for (Page page : pages.getOrDefault(part, NO_PAGES).values()) {
+  String find(Partition partition, Function<PartitionRecord, String> lookup) {
+    for (Page page : pages.getOrDefault(partition, NO_PAGES).values()) {
       String found = lookup.apply(page.record());
       if (found != null) {
         return found;
--- a/src/main/java/org/baygw/control/store/StateCache.java
+++ b/src/main/java/org/baygw/control/store/StateCache.java
@@ -214,13 +214,13 @@
     return pages;
   }
 
-  private String condition(Partition part, String machine) {
-    return pages.find(part, r -> r.conditionsByMachine().get(machine));
+  private String condition(Partition partition, String machine) {
+    return pages.find(partition, r -> r.conditionsByMachine().get(machine));
   }
 
   /** Names of a partition's machines. */
-  public Set<String> machinesOf(Partition part) {
-    return machinesByPartition.getOrDefault(part, Set.of());
+  public Set<String> machinesOf(Partition partition) {
+    return machinesByPartition.getOrDefault(partition, Set.of());
   }
 
   /** Tasks on a machine by its partition's record, with their attempts. */
@@ -228,12 +228,12 @@
     return tasksByMachine.getOrDefault(machine, Map.of());
   }
 
-  public int grantedCount(Partition part) {
-    return grantedCounts.getOrDefault(part, 0);
+  public int grantedCount(Partition partition) {
+    return grantedCounts.getOrDefault(partition, 0);
   }
 
-  public Set<TaskId> unplaced(Partition part) {
-    return unplaced.getOrDefault(part, Set.of());
+  public Set<TaskId> unplaced(Partition partition) {
+    return unplaced.getOrDefault(partition, Set.of());
   }
 
   /** Number of a job's completed tasks, including those not yet in its stored progress. */
@@ -415,8 +415,8 @@
   }
 
   /** Machines of a partition that are being drained. */
-  public Map<String, Drain> drains(Partition part) {
-    return drainsByPartition.getOrDefault(part, Map.of());
+  public Map<String, Drain> drains(Partition partition) {
+    return drainsByPartition.getOrDefault(partition, Map.of());
   }
 
   private void updateActive(String job) {
@@ -463,13 +463,14 @@
     updateActive(job);
   }
 
-  private void recordChanged(Partition part, int page, PartitionRecord next) {
-    PartitionRecord old = pages.put(part, page, next);
+  private void recordChanged(Partition partition, int page, PartitionRecord next) {
+    PartitionRecord old = pages.put(partition, page, next);
     for (String machine : old.tasksByMachine().keySet()) {
       if (!next.tasksByMachine().containsKey(machine)) {
         // The machine may be on another page now, if the record was split into more pages.
         tasksChanged(
-            machine, PartitionRecord.tasks(pages.find(part, r -> r.tasksByMachine().get(machine))));
+            machine,
+            PartitionRecord.tasks(pages.find(partition, r -> r.tasksByMachine().get(machine))));
       }
     }
     next.tasksByMachine()
@@ -482,7 +483,7 @@
     Set<String> withCondition = new HashSet<>(old.conditionsByMachine().keySet());
     withCondition.addAll(next.conditionsByMachine().keySet());
     for (String machine : withCondition) {
-      String condition = condition(part, machine);
+      String condition = condition(partition, machine);
       Entry<Machine> entry = machines.get(machine);
       Machine.Condition nextCondition =
           condition == null ? Machine.Condition.OK : Machine.Condition.valueOf(condition);
@@ -492,7 +493,7 @@
         changedMachines.add(machine);
       }
     }
-    String key = Keys.record(part, page);
+    String key = Keys.record(partition, page);
     Set<String> jobsChanged = new HashSet<>();
     collectChangedJobs(old.completedByJob(), next.completedByJob(), jobsChanged);
     collectChangedJobs(old.requeuedByJob(), next.requeuedByJob(), jobsChanged);
