--- a/src/main/java/org/baygw/control/store/PartitionPages.java
+++ b/src/main/java/org/baygw/control/store/PartitionPages.java
@@ -9,8 +9,11 @@
 
 /** Cached pages of all partitions' records, with their sizes. */
 public final class PartitionPages {
-  /** A page with the estimated sizes of its assignments and of its ended tasks. */
-  private record Page(PartitionRecord record, int assignmentBytes, int endedBytes) {
+  /**
+   * A page with its estimated sizes: that of its machines' tasks and conditions, and of its ended
+   * tasks.
+   */
+  private record Page(PartitionRecord record, int machinesBytes, int endedBytes) {
     private static final Page EMPTY = of(PartitionRecord.EMPTY);
 
     static Page of(PartitionRecord record) {
@@ -35,12 +38,12 @@
   /** Estimated size of a page. */
   public int bytes(Partition partition, int page) {
     Page found = page(partition, page);
-    return found.assignmentBytes() + found.endedBytes();
+    return found.machinesBytes() + found.endedBytes();
   }
 
   /** Estimated size of the machines' tasks and conditions on a page. */
-  public int assignmentBytes(Partition partition, int page) {
-    return page(partition, page).assignmentBytes();
+  public int machinesBytes(Partition partition, int page) {
+    return page(partition, page).machinesBytes();
   }
 
   /** Estimated size of the ended tasks on a page. */
--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -392,7 +392,7 @@
     int maxBytes = 0;
     int totalBytes = 0;
     for (int page = 0; page < pages; page++) {
-      int bytes = cache.pages().assignmentBytes(partition, page);
+      int bytes = cache.pages().machinesBytes(partition, page);
       maxBytes = Math.max(maxBytes, bytes);
       totalBytes += bytes;
     }
