--- a/src/main/java/org/baygw/control/Controller.java
+++ b/src/main/java/org/baygw/control/Controller.java
@@ -74,14 +74,14 @@
     return standby != null && standby.withholds(decidedAtMs, nowMs);
   }
 
-  /** Begins to hand over this controller's roles, because the process is about to end. */
+  /** Begins to hand over this controller's roles, because the process is about to terminate. */
   public void beginShutdown() {
     if (standby != null) {
       standby.beginShutdown();
     }
   }
 
-  /** Whether nothing remains to be handed over before the process ends. */
+  /** Whether nothing remains to be handed over before the process terminates. */
   public boolean readyToStop() {
     return standby == null || standby.ended();
   }
