--- a/src/main/java/org/baygw/control/core/TokenBucket.java
+++ b/src/main/java/org/baygw/control/core/TokenBucket.java
@@ -57,7 +57,7 @@
     lastRefillMs = now;
   }
 
-  /** Allows no calls for a time, after the service has refused one. */
+  /** Allows no calls for a time after the service refused one, and keeps at most one token. */
   public void pause(long now, long ms) {
     pausedUntilMs = Math.max(pausedUntilMs, now + ms);
     tokens = Math.min(tokens, 1.0);
