--- a/src/main/java/org/baygw/control/membership/CancellationWatermark.java
+++ b/src/main/java/org/baygw/control/membership/CancellationWatermark.java
@@ -10,9 +10,9 @@
 /**
  * The time up to which this controller knows every cancellation that any controller may have
  * confirmed to a user. A cancellation unknown here was confirmed after the watermark, and a worker
- * whose report is answered now may run a task for one more lease. Answering reports with 200 only
- * while the watermark is at most {@code cancel_s − lease_s − margin} old therefore ends every task
- * of a cancelled job in time, even if no kill order ever reaches the worker.
+ * whose report is answered now may run a task for one more lease term. Answering reports with 200
+ * only while the watermark is at most {@code cancel_s − lease_s − margin} old therefore ends every
+ * task of a cancelled job in time, even if no kill order ever reaches the worker.
  */
 public final class CancellationWatermark {
   private static final Logger LOG = LoggerFactory.getLogger(CancellationWatermark.class);
@@ -32,7 +32,7 @@
     if (maxAgeMs < Constants.WATERMARK_WARN_MS) {
       LOG.warn(
           "cancel_s exceeds lease_s by only {} ms after margins: worker leases are renewed only while"
-              + " knowledge of cancellations is more recent, so ordinary delays may end tasks",
+              + " every cancellation older than that is known, so ordinary delays may end tasks",
           maxAgeMs);
     }
   }
@@ -73,8 +73,9 @@
   }
 
   /**
-   * Whether a controller can rely on its claims as far as this one can tell: it acknowledged a
-   * status recently, and the state service did not refuse it alone before the outage began for all.
+   * Whether a controller can rely on its claims as far as this one can tell: it is this one, or it
+   * acknowledged a status recently and the state service did not refuse it alone before the outage
+   * began for all.
    */
   public boolean canRelyOnClaims(String label) {
     return label.equals(settings.label()) || alive(label) && !peers.peerIsolated(label);
--- a/src/main/java/org/baygw/control/membership/Membership.java
+++ b/src/main/java/org/baygw/control/membership/Membership.java
@@ -221,7 +221,7 @@
     return true;
   }
 
-  /** Ends this controller's membership permanently. Call it again until {@link #hasLeft()}. */
+  /** Ends this controller's membership permanently; to be called again until {@link #hasLeft()}. */
   public void end() {
     lease.leave();
   }
@@ -407,7 +407,10 @@
     return assignment.likelyOwner(machine, zone);
   }
 
-  /** Live controllers that have been seen long enough for partitions to be handed to them. */
+  /**
+   * Live controllers that have been seen long enough for partitions to be handed to them, and this
+   * one.
+   */
   private Set<String> settledMembers() {
     Set<String> members = new HashSet<>();
     firstSeen.forEach(
--- a/src/main/java/org/baygw/control/membership/MembershipLease.java
+++ b/src/main/java/org/baygw/control/membership/MembershipLease.java
@@ -24,7 +24,9 @@
   private final Store store;
   private final StateCache cache;
 
-  /** The lease that the member key is attached to; 0 before joining and after its expiry. */
+  /**
+   * The lease that the member key is attached to; 0 before joining and after the lease has ended.
+   */
   private long currentLeaseId;
 
   /** A lease that was obtained but is not used yet; 0 if there is none. */
@@ -44,7 +46,7 @@
   private boolean updateInFlight;
   private boolean leaving;
 
-  /** Whether this controller has ended its lease and obtains no other. */
+  /** Whether this controller has ended its lease and obtains no further one. */
   private boolean hasLeft;
 
   private long nextAttemptAt;
@@ -62,8 +64,8 @@
   }
 
   /**
-   * The steady time until which the lease is guaranteed to be valid, even if the state service does
-   * not answer; {@code Long.MIN_VALUE} if there is no lease.
+   * The steady time until which the lease is guaranteed to be valid, even if the state service
+   * stops answering; {@code Long.MIN_VALUE} if there is no lease.
    */
   long validUntil() {
     return currentLeaseId == 0 ? Long.MIN_VALUE : validUntil;
@@ -196,7 +198,7 @@
     return clock.now() + (long) (Constants.MEMBERSHIP_LEASE_MS * (1 - Constants.CLOCK_DRIFT));
   }
 
-  /** Ends the lease and with it all claims, and obtains no other. */
+  /** Ends the lease, and all claims with it, and obtains no further lease. */
   void leave() {
     if (requestInFlight || hasLeft) {
       return;
@@ -251,7 +253,10 @@
       updateMember(
           entry,
           reachable,
-          () -> LOG.info("{} the workers of its zone", reachable ? "reaches" : "does not reach"));
+          () ->
+              LOG.info(
+                  "this controller {} the workers of its zone",
+                  reachable ? "reaches" : "does not reach"));
     }
   }
 
--- a/src/main/java/org/baygw/control/membership/PartitionAssignment.java
+++ b/src/main/java/org/baygw/control/membership/PartitionAssignment.java
@@ -20,7 +20,9 @@
   private final Settings settings;
   private final StateCache stateCache;
 
-  /** Cached assignments by the controllers and zones that they were computed for. */
+  /**
+   * Cached assignments, by the controllers with their zones and the number of partitions per zone.
+   */
   private final Map<Set<String>, Map<Partition, String>> assignments = new HashMap<>();
 
   PartitionAssignment(Settings settings, StateCache stateCache) {
