--- a/src/main/java/org/baygw/control/model/PartitionRecord.java
+++ b/src/main/java/org/baygw/control/model/PartitionRecord.java
@@ -52,7 +52,7 @@
     return page < pageCount ? page : Math.floorMod(hash, round);
   }
 
-  /** The page that is split next; the page after the last one takes part of its machines. */
+  /** The page that is split next; the new page after the last one gets some of its machines. */
   public static int nextSplit(int pageCount) {
     return pageCount - Integer.highestOneBit(pageCount);
   }
