--- a/src/main/java/org/baygw/control/store/Keys.java
+++ b/src/main/java/org/baygw/control/store/Keys.java
@@ -7,6 +7,8 @@
   public static final String ROOT = "b/";
   public static final String TYPES = ROOT + "types";
   public static final String PARAMS = ROOT + "params";
+
+  /** The leader's role, as named in its claim's key. */
   public static final String LEADER = "leader";
 
   /** Number of partitions per zone; written once. */
--- a/src/main/java/org/baygw/control/store/StateCache.java
+++ b/src/main/java/org/baygw/control/store/StateCache.java
@@ -247,7 +247,7 @@
 
   private static final TreeMap<Integer, Entry<Progress>> NO_CHUNKS = new TreeMap<>();
 
-  /** Takes the machines to check since the last call: those changed or with a task to stop. */
+  /** Returns and resets the machines to check: those changed or with a task to stop. */
   public Set<String> takeChangedMachines() {
     Set<String> changed = changedMachines;
     changedMachines = new LinkedHashSet<>();
--- a/src/main/java/org/baygw/control/store/Store.java
+++ b/src/main/java/org/baygw/control/store/Store.java
@@ -103,7 +103,9 @@
     return currentAsOf;
   }
 
-  /** Time that conditional writes took, in ms; includes the wait for tokens unless deferred. */
+  /**
+   * Time that conditional writes took, in ms, with the wait for tokens except for deferred ones.
+   */
   public Histogram writeMs() {
     return writeMs;
   }
--- a/src/main/java/org/baygw/control/store/Txn.java
+++ b/src/main/java/org/baygw/control/store/Txn.java
@@ -15,6 +15,7 @@
   private final Map<String, Long> conditions = new LinkedHashMap<>();
   final Map<String, Change> changes = new LinkedHashMap<>();
 
+  /** Adds a condition: the key has this stamp, or does not exist if the stamp is 0. */
   public Txn when(String key, long stamp) {
     conditions.put(key, stamp);
     return this;
