--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -83,7 +83,8 @@
   public static final long RECORD_WRITE_INTERVAL_PER_PAGE_MS = 40;
 
   /**
-   * Interval between attempts to place tasks that fit nowhere, while nothing else needs a write.
+   * Interval between attempts to place tasks that fit on no machine, while nothing else needs a
+   * write.
    */
   public static final long PLACEMENT_RETRY_MS = 100;
 
@@ -483,7 +484,7 @@
   /** Failed tasks on a machine, with none completed in between, from which it may count as sick. */
   public static final int SICK_ERRORS = 3;
 
-  /** First backoff of a job after errors of its tasks; doubles up to ERROR_BACKOFF_MAX_MS. */
+  /** Base of a job's backoff, doubled with each error of its tasks up to ERROR_BACKOFF_MAX_MS. */
   public static final long ERROR_BACKOFF_MS = 1_000;
 
   /** Longest backoff of a failing job; also for how long it is not retried on a machine. */
