--- a/src/main/java/org/baygw/control/membership/MembershipLease.java
+++ b/src/main/java/org/baygw/control/membership/MembershipLease.java
@@ -22,9 +22,11 @@
   private final Clock clock;
   private final Settings settings;
   private final Store store;
-  private final StateCache view;
+  private final StateCache cache;
 
-  /** The lease that the member key is attached to; 0 before joining and after its expiry. */
+  /**
+   * The lease that the member key is attached to; 0 before joining and after the lease has ended.
+   */
   private long currentLeaseId;
 
   /** A lease that was obtained but is not used yet; 0 if there is none. */
@@ -44,16 +46,16 @@
   private boolean updateInFlight;
   private boolean leaving;
 
-  /** Whether this controller has ended its lease and obtains no other. */
+  /** Whether this controller has ended its lease and obtains no further one. */
   private boolean hasLeft;
 
   private long nextAttemptAt;
 
-  MembershipLease(Clock clock, Settings settings, Store store, StateCache view) {
+  MembershipLease(Clock clock, Settings settings, Store store, StateCache cache) {
     this.clock = clock;
     this.settings = settings;
     this.store = store;
-    this.view = view;
+    this.cache = cache;
   }
 
   /** The ID of the current lease, or 0 if there is none. */
@@ -62,8 +64,8 @@
   }
 
   /**
-   * The steady time until which the lease is guaranteed to be valid, even if the state service does
-   * not answer; {@code Long.MIN_VALUE} if there is no lease.
+   * The steady time until which the lease is guaranteed to be valid, even if the state service
+   * stops answering; {@code Long.MIN_VALUE} if there is no lease.
    */
   long validUntil() {
     return currentLeaseId == 0 ? Long.MIN_VALUE : validUntil;
@@ -96,7 +98,7 @@
   }
 
   private void join() {
-    StateCache.Entry<StateCache.Member> previous = view.members.get(settings.label());
+    StateCache.Entry<StateCache.Member> previous = cache.members.get(settings.label());
     if (previous != null && previous.value().leaseId() != endedLeaseId) {
       // The member key of this controller's former process. Ending its lease frees its claims now.
       endLease(previous.value().leaseId());
@@ -196,7 +198,7 @@
     return clock.now() + (long) (Constants.MEMBERSHIP_LEASE_MS * (1 - Constants.CLOCK_DRIFT));
   }
 
-  /** Ends the lease and with it all claims, and obtains no other. */
+  /** Ends the lease, and all claims with it, and obtains no further lease. */
   void leave() {
     if (requestInFlight || hasLeft) {
       return;
@@ -246,19 +248,22 @@
 
   /** Stores in the member key whether this controller reaches the workers of its zone. */
   void setWorkersReachable(boolean reachable) {
-    StateCache.Entry<StateCache.Member> entry = view.members.get(settings.label());
+    StateCache.Entry<StateCache.Member> entry = cache.members.get(settings.label());
     if (entry != null && entry.value().reachesWorkers() != reachable) {
       updateMember(
           entry,
           reachable,
-          () -> LOG.info("{} the workers of its zone", reachable ? "reaches" : "does not reach"));
+          () ->
+              LOG.info(
+                  "this controller {} the workers of its zone",
+                  reachable ? "reaches" : "does not reach"));
     }
   }
 
   /** Stores in the member key whether this controller is leaving, so that others take its roles. */
   void setLeaving(boolean isLeaving) {
     leaving = isLeaving;
-    StateCache.Entry<StateCache.Member> entry = view.members.get(settings.label());
+    StateCache.Entry<StateCache.Member> entry = cache.members.get(settings.label());
     if (entry != null && entry.value().leaving() != isLeaving) {
       updateMember(
           entry,
