--- a/src/test/java/org/baygw/control/sim/FailoverPhases.java
+++ b/src/test/java/org/baygw/control/sim/FailoverPhases.java
@@ -3,39 +3,39 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 
-/** Histograms of the phases from a controller's end to its successors' first orders. */
+/** Histograms of the phases from a controller's crash to its successors' first orders. */
 final class FailoverPhases {
   private static final long MAX_MS = 600_000;
   private static final int SIGNIFICANT_DIGITS = 3;
 
   private final String title;
-  private final Histogram endToLeaseExpiry = new Histogram(MAX_MS, SIGNIFICANT_DIGITS);
+  private final Histogram crashToLeaseExpiry = new Histogram(MAX_MS, SIGNIFICANT_DIGITS);
   private final Histogram leaseExpiryToClaim = new Histogram(MAX_MS, SIGNIFICANT_DIGITS);
   private final Histogram claimToOrder = new Histogram(MAX_MS, SIGNIFICANT_DIGITS);
-  private final Histogram endToLaunch = new Histogram(MAX_MS, SIGNIFICANT_DIGITS);
-  private final Histogram endToOrder = new Histogram(MAX_MS, SIGNIFICANT_DIGITS);
+  private final Histogram crashToLaunch = new Histogram(MAX_MS, SIGNIFICANT_DIGITS);
+  private final Histogram crashToOrder = new Histogram(MAX_MS, SIGNIFICANT_DIGITS);
   private int withoutOrder;
 
   FailoverPhases(String title) {
     this.title = title;
   }
 
-  void add(FailoverProbe.Failover failover, long endedAt) {
-    endToLeaseExpiry.recordValue(failover.claimEndedAt - endedAt);
+  void add(FailoverProbe.Failover failover, long crashedAt) {
+    crashToLeaseExpiry.recordValue(failover.claimEndedAt - crashedAt);
     if (failover.claimedAt < 0 || failover.firstOrderAt < 0) {
       withoutOrder++;
       return;
     }
     leaseExpiryToClaim.recordValue(failover.claimedAt - failover.claimEndedAt);
     claimToOrder.recordValue(failover.firstOrderAt - failover.claimedAt);
-    endToOrder.recordValue(failover.firstOrderAt - endedAt);
+    crashToOrder.recordValue(failover.firstOrderAt - crashedAt);
     if (failover.firstLaunchAt >= 0) {
-      endToLaunch.recordValue(failover.firstLaunchAt - endedAt);
+      crashToLaunch.recordValue(failover.firstLaunchAt - crashedAt);
     }
   }
 
   long count() {
-    return endToLeaseExpiry.getTotalCount();
+    return crashToLeaseExpiry.getTotalCount();
   }
 
   String table() {
@@ -45,11 +45,11 @@
         title,
         count(),
         withoutOrder,
-        line("end to lease expiry", endToLeaseExpiry),
+        line("crash to lease expiry", crashToLeaseExpiry),
         line("lease expiry to claim", leaseExpiryToClaim),
         line("claim to first order", claimToOrder),
-        line("end to first order", endToOrder),
-        line("end to first launch", endToLaunch));
+        line("crash to first order", crashToOrder),
+        line("crash to first launch", crashToLaunch));
   }
 
   private static String line(String name, Histogram h) {
