--- a/src/test/java/org/baygw/control/sim/InvariantChecker.java
+++ b/src/test/java/org/baygw/control/sim/InvariantChecker.java
@@ -92,7 +92,9 @@
     }
   }
 
-  /** Called with a job's id when its last task ends, to cancel it at that moment; may be null. */
+  /**
+   * Called with a job's id when its last task completes, to cancel it at that moment; may be null.
+   */
   Consumer<String> cancelAtEnd;
 
   /** Jobs with a task on a machine, in order of the tasks' ids. */
@@ -140,7 +142,7 @@
    * How long that capacity must have been free without interruption, since a grant and a launch
    * take seconds.
    */
-  private static final long CAPACITY_MS = 10_000;
+  private static final long CAPACITY_FREE_MS = 10_000;
 
   private static final long SAMPLE_MS = 1_000;
 
@@ -198,7 +200,7 @@
     }
     long since = capacitySince.computeIfAbsent(job.id(), k -> cluster.now());
     if (cluster.now() - Math.max(accepted, faultsEndAt) > WAIT_LIMIT_MS
-        && cluster.now() - since >= CAPACITY_MS) {
+        && cluster.now() - since >= CAPACITY_FREE_MS) {
       recordViolation("waited", job.id());
     }
   }
@@ -264,8 +266,8 @@
   }
 
   /**
-   * By hung machine: jobs whose tasks' lease expired while it hung. A cancellation still counts
-   * these tasks as running.
+   * By hung machine: jobs with active tasks on it when its worker's lease expired. The check of a
+   * cancellation still counts these tasks as running.
    */
   private final Map<WorkerStub, Set<String>> jobsOnHungMachines = new HashMap<>();
 
