--- a/src/test/java/org/baygw/control/sim/StateServiceStub.java
+++ b/src/test/java/org/baygw/control/sim/StateServiceStub.java
@@ -59,7 +59,8 @@
       cluster.after(
           ms,
           () -> {
-            leases.values().forEach(h -> h[1] = cluster.now() + h[0]); // renewed for their full TTL
+            // All leases are renewed for their full TTL.
+            leases.values().forEach(lease -> lease[1] = cluster.now() + lease[0]);
             answerWatches();
           });
     } else {
@@ -78,7 +79,7 @@
   }
 
   /**
-   * A watch with more changes than this gets no answer: sending it would take longer than any
+   * A watch with more changes than this gets no answer: sending them would take longer than any
    * caller waits.
    */
   int maxAnswerChanges = Integer.MAX_VALUE;
@@ -139,8 +140,8 @@
     }
     List<Long> expired = new ArrayList<>();
     leases.forEach(
-        (id, h) -> {
-          if (h[1] <= cluster.now()) {
+        (id, lease) -> {
+          if (lease[1] <= cluster.now()) {
             expired.add(id);
           }
         });
