--- a/src/test/java/org/baygw/control/sim/SimulatedCluster.java
+++ b/src/test/java/org/baygw/control/sim/SimulatedCluster.java
@@ -39,13 +39,16 @@
 
   private record Event(long at, long order, Runnable action) {}
 
-  /** A fault of the messages from one host to another. */
+  /**
+   * A fault of the messages from one host to another. The kinds differ in what happens to requests;
+   * answers sent in this direction are always lost.
+   */
   enum Cut {
-    /** Messages are lost. */
+    /** Requests are lost. */
     DROP,
-    /** Messages are held back and delivered when the cut ends. */
+    /** Requests are held back and delivered when the cut ends. */
     HOLD,
-    /** Requests arrive, but their answers are lost. */
+    /** Requests arrive, but the answers to them are lost. */
     LOSE_ANSWERS
   }
 
@@ -82,7 +85,9 @@
   /** Times at which the scenario crashed the leader's controller. */
   final List<Long> leaderCrashTimes = new ArrayList<>();
 
-  /** Time at which the scenario last crashed the leader's controller or terminated any. */
+  /**
+   * Time at which the scenario last crashed the leader's controller or terminated any controller.
+   */
   long lastCrashAt;
 
   /** Optional subsystems that controllers run with. */
@@ -228,7 +233,7 @@
       freezeBeforeOrdersMs = forMs;
     }
 
-    /** Asks the process to shut down: it hands its roles over and ends. */
+    /** Asks the process to shut down: it hands its roles over and terminates. */
     void terminate() {
       if (remote != null) {
         remote.terminate(label);
