--- a/src/test/java/org/baygw/control/sim/Scenario.java
+++ b/src/test/java/org/baygw/control/sim/Scenario.java
@@ -141,7 +141,7 @@
     }
   }
 
-  /** Starts the controllers. */
+  /** Starts the controllers and schedules the check for waiting jobs. */
   void start() {
     cluster.nodes.values().forEach(SimulatedCluster.Node::start);
     cluster.after(faultsEndAt, cluster.checker::watchWaitingJobs);
--- a/src/test/java/org/baygw/control/sim/ScenarioExpectations.java
+++ b/src/test/java/org/baygw/control/sim/ScenarioExpectations.java
@@ -87,8 +87,9 @@
   }
 
   /**
-   * Checks how long after the last crash of the leader's controller or termination of any the roles
-   * that changed hands gave orders again. Partitions without workers are left out.
+   * Checks the time from the last crash of the leader's controller, or termination of any
+   * controller, to the first order of each role that has since changed its owner. Partitions
+   * without workers are left out.
    */
   void checkFirstOrders(long withinMs) {
     int found = 0;
@@ -105,7 +106,7 @@
             entry.getKey()
                 + ": first order "
                 + (failover.firstOrderAt - cluster.lastCrashAt)
-                + " ms after the controller's end");
+                + " ms after the crash or termination");
       }
     }
     if (found == 0) {
