--- a/src/test/java/org/baygw/control/sim/RandomFaultTest.java
+++ b/src/test/java/org/baygw/control/sim/RandomFaultTest.java
@@ -145,7 +145,7 @@
               case 10, 11 -> "state-outage only " + controller;
               case 12 -> "crash-leader";
               case 13 -> "crash " + controller + " for 0.2\nat " + (at + 0.4) + " crash-leader";
-              // Longer than a lease; with nobody there nothing can be had of machines that hang.
+              // Up to 14 s, longer than a lease: meanwhile no controller acts on hung machines.
               case 14 ->
                   "crash all for " + (1 + random.nextInt(14)) + "\nat " + at + " odd-requests";
               case 15 -> "cut-zone-workers " + (random.nextBoolean() ? "a" : "b");
