--- a/src/test/java/org/baygw/control/sim/ProcessScenarios.java
+++ b/src/test/java/org/baygw/control/sim/ProcessScenarios.java
@@ -69,7 +69,10 @@
     return lines.append("run ").append(seconds).append("\n").toString();
   }
 
-  /** The leader's controller is paused repeatedly, each time for about as long as its lease. */
+  /**
+   * The leader's controller is paused repeatedly, each time for about the rest of its membership
+   * lease.
+   */
   static String pauses(long seed, int seconds) {
     Random random = new Random(seed);
     StringBuilder lines = new StringBuilder(setUp(seed));
--- a/src/test/java/org/baygw/control/sim/ProcessesIT.java
+++ b/src/test/java/org/baygw/control/sim/ProcessesIT.java
@@ -15,7 +15,7 @@
 /**
  * Runs the built jar on loopback: three controllers as processes that are killed (SIGKILL), paused
  * (SIGSTOP), terminated (SIGTERM) and told to hand over, while users submit, poll and cancel.
- * Checks the rules and every job's end, not how long anything took.
+ * Checks the rules and that jobs get done, not how long anything took.
  */
 final class ProcessesIT {
   private static final int SECONDS = 95;
