--- a/src/main/java/org/baygw/control/workers/FirstFitPlacer.java
+++ b/src/main/java/org/baygw/control/workers/BestFitPlacer.java
@@ -23,7 +23,7 @@
 import org.baygw.control.store.StateCache;
 
 /** Places the tasks granted to a partition on its machines, in order of priority. */
-final class FirstFitPlacer {
+final class BestFitPlacer {
   /** Space left in a partition's record for the next write. */
   interface RecordSpace {
     /** Whether the next write can place a task on the machine. */
@@ -54,7 +54,7 @@
   /** Machines that a consolidation round chose for pending tasks. */
   private final Map<TaskId, String> preferredMachines = new HashMap<>();
 
-  FirstFitPlacer(
+  BestFitPlacer(
       Clock clock,
       Settings settings,
       StateCache view,
--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -61,7 +61,7 @@
   private final Store store;
   private final StateCache view;
   private final TerminationEvidence evidence;
-  private final FirstFitPlacer placer;
+  private final BestFitPlacer placer;
   private final ConsolidationRound rounds;
   private final Context context;
   private final Set<String> dirty = new LinkedHashSet<>();
@@ -80,7 +80,7 @@
    * them. Pages are copied only when needed, so that the cost of a write depends on what it
    * changes.
    */
-  private final class Draft implements FirstFitPlacer.RecordSpace {
+  private final class Draft implements BestFitPlacer.RecordSpace {
     final Txn txn = new Txn().when(Keys.claim(partition.toString()), claim);
     final int pages = view.pages().count(partition);
     private final Map<Integer, PartitionRecord> copies = new HashMap<>();
@@ -237,7 +237,7 @@
       Store store,
       StateCache view,
       TerminationEvidence evidence,
-      FirstFitPlacer placer,
+      BestFitPlacer placer,
       ConsolidationRound rounds,
       Context context) {
     this.partition = partition;
@@ -581,7 +581,7 @@
             - draft.txn.conditionCount()
             - maxPagesPerWrite()
             - OTHER_CONDITIONS;
-    FirstFitPlacer.Plan plan = placer.plan(partition, claim, tasksInWrite, maxConditions, draft);
+    BestFitPlacer.Plan plan = placer.plan(partition, claim, tasksInWrite, maxConditions, draft);
     plan.returned()
         .forEach(
             (task, attempt) -> {
--- a/src/main/java/org/baygw/control/workers/WorkerCommands.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCommands.java
@@ -32,7 +32,7 @@
   private final Settings settings;
   private final StateCache view;
   private final TerminationEvidence evidence;
-  private final FirstFitPlacer placer;
+  private final BestFitPlacer placer;
   private final ConsolidationRound rounds;
   private final CancellationWatermark watermark;
   private final Replication replication;
@@ -51,7 +51,7 @@
       Settings settings,
       StateCache view,
       TerminationEvidence evidence,
-      FirstFitPlacer placer,
+      BestFitPlacer placer,
       ConsolidationRound rounds,
       CancellationWatermark watermark,
       Replication replication,
--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -33,7 +33,7 @@
 /**
  * Handles the workers of the partitions that this controller owns: processes their reports and
  * sends them orders. {@link TerminationEvidence} proves that tasks have ended, {@link
- * WorkerCommands} composes and sends orders, {@link FirstFitPlacer} and {@link ConsolidationRound}
+ * WorkerCommands} composes and sends orders, {@link BestFitPlacer} and {@link ConsolidationRound}
  * choose machines for tasks, and {@link PartitionWriter} writes a partition's durable record.
  */
 public final class Workers {
@@ -55,7 +55,7 @@
 
   private final ConsolidationRound rounds = new ConsolidationRound();
   private final TerminationEvidence evidence;
-  private final FirstFitPlacer placer;
+  private final BestFitPlacer placer;
   private final WorkerCommands commands;
   private final WorkerReachability reachability;
   private final CancellationDeadline deadline;
@@ -90,7 +90,7 @@
     this.deadline =
         new CancellationDeadline(
             clock, settings, view, membership, evidence, cloud, watermark, this::ownedSession);
-    this.placer = new FirstFitPlacer(clock, settings, view, sessions, rounds, replication);
+    this.placer = new BestFitPlacer(clock, settings, view, sessions, rounds, replication);
     this.commands =
         new WorkerCommands(
             clock,
