--- a/src/main/java/org/baygw/control/workers/CancellationDeadline.java
+++ b/src/main/java/org/baygw/control/workers/CancellationDeadline.java
@@ -55,7 +55,7 @@
   /** Machines that the cloud has taken back, as long as they are on record. */
   private final Set<String> returned = new HashSet<>();
 
-  private boolean returnInProgress;
+  private boolean returnInFlight;
   private long nextCheck;
 
   /**
@@ -97,7 +97,7 @@
     List<String> due = findDueMachines();
     // If this controller may have been replaced, the new owner may have proved that the tasks ended
     // and placed others on the machine, which must keep running.
-    if (!due.isEmpty() && !returnInProgress && !watermark.mayHaveLostClaims()) {
+    if (!due.isEmpty() && !returnInFlight && !watermark.mayHaveLostClaims()) {
       returnMachines(due.subList(0, Math.min(due.size(), Constants.MAX_RETURN)));
     }
   }
@@ -205,11 +205,11 @@
 
   private void returnMachines(List<String> machines) {
     LOG.info("cancelled tasks not proved to have ended in time: returning machines {}", machines);
-    returnInProgress = true;
+    returnInFlight = true;
     cloud.returnMachines(
         machines,
         ok -> {
-          returnInProgress = false;
+          returnInFlight = false;
           if (ok) {
             returned.addAll(machines);
           }
--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -66,7 +66,7 @@
   private final Context context;
   private final Set<String> dirty = new LinkedHashSet<>();
 
-  /** Tasks that a write in progress adds to machines or removes from them. */
+  /** Tasks that a write in flight adds to machines or removes from them. */
   private final Set<TaskId> tasksInWrite = new HashSet<>();
 
   private boolean queued;
@@ -257,12 +257,12 @@
     dirty.add(machine);
   }
 
-  /** Whether a write in progress involves the task: launches and forgets wait for its outcome. */
+  /** Whether a write in flight involves the task: launches and forgets wait for its outcome. */
   boolean inWrite(TaskId task) {
     return tasksInWrite.contains(task);
   }
 
-  /** Starts a write if there are changes and no write is in progress. */
+  /** Starts a write if there are changes and no write is in flight. */
   void writeIfDue() {
     long now = clock.now();
     if (queued || writing) {
--- a/src/main/java/org/baygw/control/workers/WorkerCommands.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCommands.java
@@ -107,7 +107,7 @@
         now - lastHeardAt(worker)
             > Constants.PROBE_AFTER_REPORTS * settings.workers().reportS() * 1000;
     if (worker.probing
-        || worker.directCallInProgress
+        || worker.directCallInFlight
         || worker.addr.isEmpty()
         || now < worker.nextProbe
         || !quiet
@@ -145,7 +145,7 @@
    * already or cannot be called now.
    */
   private boolean announceToken(WorkerSession worker) {
-    if (worker.lastHeard > 0 || worker.directCallInProgress || worker.addr.isEmpty()) {
+    if (worker.lastHeard > 0 || worker.directCallInFlight || worker.addr.isEmpty()) {
       worker.expectedSession = 0;
       return false;
     }
@@ -175,7 +175,7 @@
 
   /** Sends orders that should not wait for the next report. */
   void sendUrgent(WorkerSession worker, Machine machine, PartitionWriter writer) {
-    if (worker.directCallInProgress
+    if (worker.directCallInFlight
         || worker.addr.isEmpty()
         || !worker.claimConfirmed()
         || worker.leaseExpired
@@ -241,8 +241,8 @@
       }
       WorkerSession.PendingLaunch launch = worker.pendingLaunches.get(entry.getKey());
       boolean launchable =
-          launch == null || inResponse && launch.reportTick == 0 && !worker.directCallInProgress;
-      // A task that a write in progress removes from the machine must not be launched there again.
+          launch == null || inResponse && launch.reportTick == 0 && !worker.directCallInFlight;
+      // A task that a write in flight removes from the machine must not be launched there again.
       if (launchable
           && !writer.inWrite(entry.getKey())
           && evidence.shouldRun(entry.getKey(), entry.getValue(), machine)) {
@@ -307,7 +307,7 @@
         launches.add(order.task());
       }
     }
-    worker.directCallInProgress = true;
+    worker.directCallInFlight = true;
     out.sendOrders(
         worker.addr,
         "/orders",
@@ -318,7 +318,7 @@
 
   private void directAnswered(
       WorkerSession worker, List<TaskId> launches, int status, byte[] body) {
-    worker.directCallInProgress = false;
+    worker.directCallInFlight = false;
     boolean announced = worker.announcingToken;
     worker.announcingToken = false;
     boolean outcomeKnown =
@@ -345,7 +345,7 @@
         && status == 409
         && !worker.claimConfirmed()
         && worker.session > 0
-        && !worker.directCallInProgress) {
+        && !worker.directCallInFlight) {
       sendDirect(worker, worker.session, List.of()); // the former owner knew another session
     }
   }
--- a/src/main/java/org/baygw/control/workers/WorkerSession.java
+++ b/src/main/java/org/baygw/control/workers/WorkerSession.java
@@ -35,7 +35,7 @@
    */
   long expectedSession;
 
-  /** A call that announces this claim's token to the worker is in progress. */
+  /** A call that announces this claim's token to the worker is in flight. */
   boolean announcingToken;
 
   long tick;
@@ -68,12 +68,12 @@
    */
   Machine.Condition condition;
 
-  /** A write of the machine's own record is in progress. */
-  boolean recordWriteInProgress;
+  /** A write of the machine's own record is in flight. */
+  boolean recordWriteInFlight;
 
-  boolean directCallInProgress;
+  boolean directCallInFlight;
 
-  /** A probe of the worker is in progress. */
+  /** A probe of the worker is in flight. */
   boolean probing;
 
   /** A probe has failed since the worker was last heard from. */
--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -207,7 +207,7 @@
         nextCheck = now + Constants.MACHINE_CHECK_MS;
         boolean fullCheck = now >= nextFullCheck;
         nextFullCheck = fullCheck ? now + Constants.MACHINE_FULL_CHECK_MS : nextFullCheck;
-        sessions.values().removeIf(worker -> !worker.recordWriteInProgress && !owns(worker));
+        sessions.values().removeIf(worker -> !worker.recordWriteInFlight && !owns(worker));
         for (Partition partition : membership.partitions()) {
           if (membership.heldClaimStamp(partition) != 0) {
             List.copyOf(view.machinesOf(partition)).forEach(m -> checkMachine(m, fullCheck));
@@ -343,8 +343,7 @@
   }
 
   /**
-   * Tasks granted to this controller's partitions that are on no machine and in no write in
-   * progress.
+   * Tasks granted to this controller's partitions that are on no machine and in no write in flight.
    */
   private Map<TaskId, Partition> pendingTasks() {
     Map<TaskId, Partition> found = new LinkedHashMap<>();
@@ -526,7 +525,7 @@
    * since.
    */
   private void register(WorkerSession worker, WorkerCodec.Report report) {
-    if (worker.recordWriteInProgress || !worker.claimConfirmed()) {
+    if (worker.recordWriteInFlight || !worker.claimConfirmed()) {
       return;
     }
     Partition partition = partitionOf(report);
@@ -541,7 +540,7 @@
             Map.of(),
             List.of(),
             partition);
-    worker.recordWriteInProgress = true;
+    worker.recordWriteInFlight = true;
     store.txnWithRetry(
         Store.Urgency.LAUNCH,
         new Txn()
@@ -549,7 +548,7 @@
             .when(Keys.claim(partition.toString()), worker.claim)
             .put(Keys.machine(machine.name()), Records.machine(machine)),
         Constants.STATE_TIMEOUT_MS,
-        ok -> worker.recordWriteInProgress = false);
+        ok -> worker.recordWriteInFlight = false);
   }
 
   /** Handles a report that a worker sent as the answer to a call of this controller. */
