--- a/src/main/java/org/baygw/control/workers/BestFitPlacer.java
+++ b/src/main/java/org/baygw/control/workers/BestFitPlacer.java
@@ -22,7 +22,10 @@
 import org.baygw.control.placement.MachineCapacity;
 import org.baygw.control.store.StateCache;
 
-/** Places the tasks granted to a partition on its machines, in order of priority. */
+/**
+ * Places the tasks granted to a partition on its machines: in order of priority, each on the
+ * machine that suits it best.
+ */
 final class BestFitPlacer {
   /** Space left in a partition's record for the next write. */
   interface RecordSpace {
