--- a/src/main/java/org/baygw/control/workers/CancellationDeadline.java
+++ b/src/main/java/org/baygw/control/workers/CancellationDeadline.java
@@ -40,7 +40,9 @@
   private final Cloud cloud;
   private final CancellationWatermark watermark;
 
-  /** Gives the session of a machine's worker; null if this controller does not own the machine. */
+  /**
+   * Returns the session of a machine's worker; null if this controller does not own the machine.
+   */
   private final Function<Machine, WorkerSession> ownedSession;
 
   private final long cancelMs;
@@ -48,7 +50,7 @@
 
   /**
    * Machines with cancelled tasks that are not proved to have ended, and since when this controller
-   * knows of them.
+   * has known of them.
    */
   private final Map<String, Long> pendingSince = new HashMap<>();
 
@@ -58,10 +60,7 @@
   private boolean returnInFlight;
   private long nextCheck;
 
-  /**
-   * Time since which this controller's copy of the state has been current at every check; 0 before
-   * the first.
-   */
+  /** Time since which the state cache has been current at every check; 0 before the first check. */
   private long currentSince;
 
   CancellationDeadline(
@@ -150,7 +149,7 @@
           || share > Constants.CANCELLATION_OWNER_SHARE && knownMs > proofDelayMs();
     }
     if (outage) {
-      // A live owner may have proof that it cannot write.
+      // A live owner may have proof that the task has ended and be unable to write it.
       return share > Constants.CANCELLATION_OWNERLESS_SHARE && ownerless(machine);
     }
     // The proof of a live owner would be on record by now; without a live owner there may be nobody
@@ -161,12 +160,15 @@
         && clock.now() - currentSince > proofDelayMs();
   }
 
-  /** ms within which a live owner has proof that tasks have ended, and has it on record. */
+  /** ms within which a live owner obtains proof that tasks have ended and writes it. */
   private double proofDelayMs() {
     return cancelMs * Constants.CANCELLATION_PROOF_SHARE;
   }
 
-  /** Upper bound on the share of the time for a cancellation that has passed, with clock error. */
+  /**
+   * Upper bound, with clock error, on how much of the time for a job's cancellation has passed; 1
+   * is all of it.
+   */
   private double elapsedShare(String job) {
     return (double) (clock.wall() - view.cancelledMs(job) + clockErrorMs) / cancelMs;
   }
@@ -187,8 +189,8 @@
   }
 
   /**
-   * Whether the task has left the machine by the record, or by proof that this controller has as
-   * the owner but cannot write during an outage.
+   * Whether the task has left the machine according to the record, or according to proof that this
+   * controller has as the owner but may be unable to write during an outage.
    */
   private boolean provedGone(Machine machine, TaskId task) {
     WorkerSession session = ownedSession.apply(machine);
