--- a/src/main/java/org/baygw/control/workers/ConsolidationRound.java
+++ b/src/main/java/org/baygw/control/workers/ConsolidationRound.java
@@ -24,7 +24,10 @@
  * nodes at a time, and keeps the planned moves until they are made or expire.
  */
 public final class ConsolidationRound {
-  /** Gives the age of a task in seconds; infinite if its launch time is unknown. */
+  /**
+   * Returns the age of a task in seconds: 0 for a service replica, infinite if the launch time is
+   * unknown.
+   */
   interface Age {
     double ageS(String machine, TaskId task);
   }
@@ -87,7 +90,8 @@
   }
 
   /**
-   * Advances the round by a step; returns the machines chosen for pending tasks if it has ended.
+   * Advances the round by a step; returns the machines chosen for pending tasks if this step ended
+   * the round.
    */
   Map<TaskId, String> tick(
       long now,
@@ -198,10 +202,11 @@
   }
 
   /**
-   * The machines that a round could empty, by index, with their tasks: all of them can be moved,
-   * and there are fewer than alpha/mu, or the moves would cost more than the machine saves. The
-   * tasks of all other machines stay. Machines with the most tasks come first: the search revises
-   * its first choices last, so the machines that are cheapest to empty are tried before the others.
+   * The machines that a round could empty, by index, with their tasks: all tasks of such a machine
+   * can be moved, and there are fewer than alpha/mu of them, since moving more would cost at least
+   * as much as the emptied machine saves. The tasks of all other machines stay. Machines with the
+   * most tasks come first: the search revises its first choices last, so the machines that are
+   * cheapest to empty are tried before the others.
    */
   private static Map<Integer, List<TaskId>> emptiableMachines(
       StateCache view,
