--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -48,10 +48,10 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(PartitionWriter.class);
 
-  /** Writes of a move beside its own page: the job's progress and another partition's page. */
+  /** Writes of a move besides its own page: the job's progress and another partition's page. */
   private static final int MOVE_WRITES = 2;
 
-  /** Conditions of a placement beside those on pages and jobs: the list of leaving machines. */
+  /** Conditions of a placement besides changed pages and jobs: first page, draining machines. */
   private static final int OTHER_CONDITIONS = 2;
 
   final Partition partition;
@@ -351,7 +351,7 @@
    * Prepares a write that splits pages in order, as many as it can hold and until their number has
    * doubled; null if no split is needed. All changed pages are written together under the claim,
    * with the number of pages on the first one, so that readers find each machine on the page that
-   * the number determines: before the write, after it, and if this controller fails at any time.
+   * the number determines: before the write, after it, and if this controller crashes at any time.
    * The write contains nothing else. The number of pages has no upper bound.
    */
   private Draft splitPages() {
