--- a/src/main/java/org/baygw/control/workers/TerminationEvidence.java
+++ b/src/main/java/org/baygw/control/workers/TerminationEvidence.java
@@ -45,7 +45,7 @@
         && !worker.leaseExpired) {
       // The worker has seen this claim's token, so that only this controller's responses renew its
       // lease, and the last of them is too old: the worker has ended its session and all tasks with
-      // it. Direct launches need the old session.
+      // it. It refuses pending direct launches, which name the old session.
       worker.leaseExpired = true;
       worker.pendingLaunches.clear();
       worker.reported = new LinkedHashMap<>();
@@ -86,8 +86,8 @@
             && (reported == null || reported.state() == WorkerCodec.State.ENDED)
             && !worker.pendingLaunches.containsKey(task);
     // A hung machine keeps its tasks after its lease has expired. A task of a cancelled job
-    // therefore stays on record until its worker is heard from or the machine is returned, or the
-    // next owner would not know of it.
+    // therefore stays on record until its worker is heard from or the machine is returned:
+    // otherwise the next owner would not know of it.
     return absent
             && (worker.leaseExpired
                 ? !view.isCancelled(task.job())
