--- a/src/main/java/org/baygw/control/workers/WorkerCommands.java
+++ b/src/main/java/org/baygw/control/workers/WorkerCommands.java
@@ -225,9 +225,9 @@
     if (completed.size() >= Constants.FORGET_BATCH_TASKS) {
       orders.addAll(completed);
     }
-    // With outdated knowledge of cancellations this owner may not know that a job was cancelled,
-    // and a worker with a new session, whose tasks ended with its lease, must not be given them
-    // again by the record.
+    // No launches with outdated knowledge of cancellations: a task on record may belong to a job
+    // that was cancelled meanwhile, and if it ended with its worker's lease, it must not be
+    // launched again in the worker's new session.
     if (!watermark.recent()
         || !worker.claimConfirmed()
         || worker.leaseExpired
