--- a/src/main/java/org/baygw/control/workers/WorkerReachability.java
+++ b/src/main/java/org/baygw/control/workers/WorkerReachability.java
@@ -48,8 +48,9 @@
   }
 
   /**
-   * Whether one worker's silence is evidence that it is lost: other workers were heard from
-   * recently, or this controller owns too few to be judged by them.
+   * Whether one worker's silence is evidence that it is lost: workers of the zone were heard from
+   * recently, or this controller cannot tell that it is cut off, because it owns too few machines
+   * or no other controller of the zone reaches the workers either.
    */
   boolean silenceIsConclusive() {
     return clock.now() - lastHeard <= Constants.CONCLUSIVE_SILENCE_REPORTS * periodMs();
