--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -401,8 +401,9 @@
   }
 
   /**
-   * Copies the replicated state of the partition's former owner that is no proof about tasks: the
-   * worker's address and session, launch times, failures, and whether the machine is sick.
+   * Copies what the partition's former owner replicated about a worker: address, session, launch
+   * times, failures, and whether the machine is sick. None of it counts as proof that a task has
+   * ended.
    */
   private void inherit(WorkerSession worker) {
     StateCache.Entry<Machine> machine = view.machines.get(worker.name);
@@ -488,7 +489,7 @@
       worker.pendingLaunches.clear(); // the worker refuses orders for an earlier session
       worker.killSentAt.clear();
       // A new session has its full lease from its start, even if none of its reports is answered:
-      // tasks launched directly in it live that long.
+      // tasks launched directly in it run that long.
       worker.lastAnswered = clock.now();
     }
     boolean confirmedBefore = worker.claimConfirmed();
@@ -520,9 +521,9 @@
   }
 
   /**
-   * Records a machine once its worker has reported this claim's token. A late copy of an old report
-   * cannot carry that token if its machine was returned, even by a controller that has crashed
-   * since.
+   * Records a machine once its worker has reported this claim's token. A report that is delivered
+   * late, after its machine was returned, cannot carry that token, even if the controller that
+   * returned the machine has crashed since.
    */
   private void register(WorkerSession worker, WorkerCodec.Report report) {
     if (worker.recordWriteInFlight || !worker.claimConfirmed()) {
