--- a/src/main/java/org/baygw/control/placement/BranchAndBound.java
+++ b/src/main/java/org/baygw/control/placement/BranchAndBound.java
@@ -289,7 +289,10 @@
     return true;
   }
 
-  /** The current machine first, then others by ascending free resources, empty machines last. */
+  /**
+   * The machines to try for a task: the current one first, then others by ascending free resources,
+   * then empty ones. A task that is on no machine may also stay unplaced, which is tried last.
+   */
   private int[] children(int item) {
     Item task = items.get(item);
     List<Integer> others = new ArrayList<>();
