--- a/src/main/java/org/baygw/control/placement/MachineCapacity.java
+++ b/src/main/java/org/baygw/control/placement/MachineCapacity.java
@@ -118,7 +118,7 @@
   public boolean meetsConstraints(JobSpec spec) {
     return tasks < Constants.MAX_TASKS_PER_MACHINE
         && allowed(spec, machine.type(), machine.zone(), machine.spot())
-        // Replicas of a service do not share a machine (the design's anti-colocation).
+        // Replicas of a service do not share a machine (anti-affinity).
         && !(spec.service() && jobs.contains(spec.id()));
   }
 
