--- a/src/main/java/org/baygw/control/quota/FreeCapacity.java
+++ b/src/main/java/org/baygw/control/quota/FreeCapacity.java
@@ -106,8 +106,9 @@
   }
 
   /**
-   * The partition whose machine for the task ranks highest, and among equals the one with the most
-   * free CPUs; null if no machine fits. Avoided partitions come last.
+   * The best machine for the task, from the partition whose best machine ranks highest, and among
+   * equals from the one with the most free CPUs on machines that fit and have tasks already; null
+   * if no machine fits. Avoided partitions come last.
    */
   Candidate findCandidate(JobSpec spec, int[] liveByZone, Set<Partition> avoided) {
     String requiredZone = zones.requiredZone(spec, liveByZone);
