--- a/src/main/java/org/baygw/control/quota/QueuedJob.java
+++ b/src/main/java/org/baygw/control/quota/QueuedJob.java
@@ -33,8 +33,8 @@
   static final Comparator<QueuedJob> ORDER =
       Comparator.comparing(
               (QueuedJob job) -> job.spec().priority() == JobSpec.Priority.PRODUCTION ? 0 : 1)
-          // Jobs that may preempt others come first, or capacity would be granted to the next job
-          // and taken back again.
+          // Jobs that may preempt others come first: otherwise capacity would be granted to the
+          // next job and taken back again.
           .thenComparing(job -> job.overdue() ? 0 : 1)
           .thenComparing(job -> job.guaranteed() ? 0 : 1)
           // Low-priority jobs of teams without guarantee must not displace other jobs, not even
@@ -53,8 +53,9 @@
           .thenComparing(QueuedJob::id);
 
   /**
-   * Whether the job has waited so long without a start that it precedes others: sooner within a
-   * guarantee, later in any case, or large jobs would starve while small ones keep arriving.
+   * Whether the job has waited so long without a start that it precedes others: a guaranteed job
+   * does so sooner than another. Without this rule large jobs would starve while small ones keep
+   * arriving.
    */
   boolean overdue() {
     return unstartedMs > (guaranteed ? Constants.GUARANTEED_OVERDUE_MS : Constants.STARVED_MS);
