--- a/src/main/java/org/baygw/control/quota/Preemption.java
+++ b/src/main/java/org/baygw/control/quota/Preemption.java
@@ -30,11 +30,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Frees capacity as the protocol allows, by stopping tasks of lower priority or, for a job within
- * its team's guarantee, tasks by which another team exceeds its own. Tasks are stopped for
- * production jobs, for jobs that have waited long for their team's guarantee, and without waiting
- * where a task of a team without guarantee can be stopped without loss: such a team cannot reclaim
- * the capacity, so teams do not preempt each other in turns.
+ * Frees capacity within the rules of the protocol, by stopping tasks of lower priority or, for a
+ * job within its team's guarantee, tasks by which another team exceeds its own. Tasks are stopped
+ * for production jobs, for jobs that have waited long for their team's guarantee, and without
+ * waiting where a task of a team without guarantee can be stopped without loss: such a team cannot
+ * reclaim the capacity, so teams do not preempt each other in turns.
  */
 final class Preemption {
   private static final Logger LOG = LoggerFactory.getLogger(Preemption.class);
@@ -43,7 +43,7 @@
   private record Victim(TaskId task, JobSpec spec, double cost) {}
 
   /**
-   * The tasks to stop on a machine for one task, and the total cost in seconds, with that of a
+   * The tasks to stop on a machine for one task, and the total cost in seconds, including that of a
    * missing image.
    */
   private record PreemptionOption(List<Victim> victims, double cost) {}
@@ -268,7 +268,8 @@
     /**
      * Whether the task is of a team without guarantee, saves checkpoints, and is of lower priority
      * or takes capacity that the demand is guaranteed. Each job of such a team keeps a task, and no
-     * task is stopped in its first half minute, or a started job would count as not started.
+     * task is stopped within MIN_START_RUN_S of its grant: otherwise a started job would count as
+     * not started.
      */
     private boolean isPreemptibleWithoutGuarantee(
         UnmetDemand demand, Victim victim, List<Victim> chosen) {
