--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -348,11 +348,11 @@
   }
 
   /**
-   * Prepares a write that splits pages in order, as many as it can hold and until their number has
-   * doubled; null if no split is needed. All changed pages are written together under the claim,
-   * with the number of pages on the first one, so that readers find each machine on the page that
-   * the number determines: before the write, after it, and if this controller crashes at any time.
-   * The write contains nothing else. The number of pages has no upper bound.
+   * Prepares a write that splits pages in order, as many as fit into it and at most until their
+   * number has doubled; null if no split is needed. All changed pages are written together under
+   * the claim, with the number of pages on the first one, so that readers find each machine on the
+   * page that the number determines: before the write, after it, and if this controller crashes at
+   * any time. The write contains nothing else. The number of pages has no upper bound.
    */
   private Draft splitPages() {
     if (!splitNeeded()) {
