--- a/src/main/java/org/baygw/control/Controller.java
+++ b/src/main/java/org/baygw/control/Controller.java
@@ -82,7 +82,7 @@
 
   /** Whether nothing remains to be handed over before the process ends. */
   public boolean readyToStop() {
-    return standby == null || standby.ended();
+    return standby == null || standby.shutdownComplete();
   }
 
   private void beginInput(long nowMs, long wallMs) {
--- a/src/main/java/org/baygw/control/standby/StandbyService.java
+++ b/src/main/java/org/baygw/control/standby/StandbyService.java
@@ -91,7 +91,7 @@
   }
 
   /** Whether the process can exit without other controllers having to wait for its lease. */
-  public boolean ended() {
+  public boolean shutdownComplete() {
     return handover.shutdownComplete();
   }
 
