--- a/src/main/java/org/baygw/control/fleet/ReturnPlanner.java
+++ b/src/main/java/org/baygw/control/fleet/ReturnPlanner.java
@@ -94,7 +94,7 @@
       }
       // A sick machine fails tasks that it starts, not those already running, so it is kept while
       // it runs service replicas.
-      if (machine.condition() == Machine.Condition.SICK && !hasReplica(machine)
+      if (machine.condition() == Machine.Condition.SICK && !runsServiceReplica(machine)
           || machine.condition() == Machine.Condition.SILENT
               && !keepSilent(machine, now, outageZones.contains(machine.zone()))) {
         returns.drain(machine.name(), machine.zone(), StateCache.Drain.GIVEN_UP);
@@ -163,7 +163,7 @@
     return silentMs < limitMs;
   }
 
-  private boolean hasReplica(Machine machine) {
+  private boolean runsServiceReplica(Machine machine) {
     for (TaskId task : machine.tasks().keySet()) {
       StateCache.Entry<Job> job = view.jobs.get(task.job());
       if (job != null && job.value().open() && job.value().spec().service()) {
--- a/src/main/java/org/baygw/control/fleet/Returns.java
+++ b/src/main/java/org/baygw/control/fleet/Returns.java
@@ -174,13 +174,13 @@
   /** Whether a machine that was marked as idle received a task before the mark was durable. */
   private boolean receivedTask(Partition partition, String name, StateCache.Drain reason) {
     return reason == StateCache.Drain.IDLE
-        && viewIsCurrent(partition)
+        && cacheIsCurrent(partition)
         && !gone.contains(name)
         && !view.tasksOn(name).isEmpty();
   }
 
   /** Whether the view includes every placement made before the partition's list last changed. */
-  private boolean viewIsCurrent(Partition partition) {
+  private boolean cacheIsCurrent(Partition partition) {
     return view.revision() >= view.stamp(Keys.drain(partition));
   }
 
@@ -198,7 +198,7 @@
         continue;
       }
       writeDrains(partition);
-      if (busyPartitions.contains(partition) || !viewIsCurrent(partition)) {
+      if (busyPartitions.contains(partition) || !cacheIsCurrent(partition)) {
         continue;
       }
       view.drains(partition)
