--- a/src/main/java/org/baygw/control/standby/StandbyService.java
+++ b/src/main/java/org/baygw/control/standby/StandbyService.java
@@ -235,8 +235,8 @@
   }
 
   @Override
-  public void capacityRefused(String type, String zone, boolean spot, long forMs) {
-    append(new Decision.CapacityRefused(type, zone, spot, clock.wall() + forMs));
+  public void capacityRefused(String type, String zone, boolean spot, long durationMs) {
+    append(new Decision.CapacityRefused(type, zone, spot, clock.wall() + durationMs));
   }
 
   private static RoaringBitmap bitmap(Collection<Integer> tasks) {
--- a/src/test/java/org/baygw/control/standby/TakeoverTest.java
+++ b/src/test/java/org/baygw/control/standby/TakeoverTest.java
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void distinguishesReleaseFromEndOfLease() {
+  void distinguishesReleaseFromExpiredLease() {
     observe(0, 7, false, true, 0);
     replica.receive(new RoleUpdate.Release(ROLE, 7, 41), 1);
     observe(0, 0, false, true, 0);
