--- a/src/main/java/org/baygw/control/net/EventLoop.java
+++ b/src/main/java/org/baygw/control/net/EventLoop.java
@@ -119,23 +119,23 @@
    * too long, the roles' leases run out instead.
    */
   public void handOverAndStop() throws InterruptedException {
-    CountDownLatch ended = new CountDownLatch(1);
+    CountDownLatch readyToStop = new CountDownLatch(1);
     loop.next().execute(() -> safely(core::beginShutdown));
-    var endCheck =
+    var stopCheck =
         loop.next()
             .scheduleAtFixedRate(
                 () -> {
                   if (core.readyToStop()) {
-                    ended.countDown();
+                    readyToStop.countDown();
                   }
                 },
                 0,
                 Constants.TICK_MS,
                 TimeUnit.MILLISECONDS);
-    if (!ended.await(Constants.HANDOVER_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
+    if (!readyToStop.await(Constants.HANDOVER_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
       LOG.warn("roles were not handed over in time: their leases run out");
     }
-    endCheck.cancel(false);
+    stopCheck.cancel(false);
     stop();
   }
 
