--- a/src/main/java/org/baygw/control/standby/Decision.java
+++ b/src/main/java/org/baygw/control/standby/Decision.java
@@ -4,7 +4,7 @@
 
 /**
  * A decision or observation of an active controller that is in no durable record. Times are
- * wall-clock times in ms, which differ between controllers by at most the platform's bound.
+ * wall-clock times in ms; each controller's clock is off by at most the settings' time bound.
  */
 sealed interface Decision {
   /** The owner has learned a worker's address and session. */
@@ -17,10 +17,10 @@
   /** Tasks of a job are no longer on a machine. */
   record TasksEnded(String machine, String job, RoaringBitmap tasks) implements Decision {}
 
-  /** Tasks of a job failed on a machine, {@code count} times since one last completed there. */
+  /** Tasks of a job failed {@code count} more times on a machine. */
   record TasksFailed(String machine, String job, int count) implements Decision {}
 
-  /** A task completed on a machine. */
+  /** A task completed on a machine, which resets the machine's failure counts. */
   record TaskCompleted(String machine) implements Decision {}
 
   /** Tasks that succeed elsewhere fail on a machine. */
