--- a/src/main/java/org/baygw/control/standby/MachineState.java
+++ b/src/main/java/org/baygw/control/standby/MachineState.java
@@ -11,7 +11,7 @@
  *
  * @param session the worker's session; 0 if unknown
  * @param launched tasks that this owner or a former one launched on the machine, by job
- * @param failures number of tasks that failed on the machine since one last completed there, by job
+ * @param failures number of failed tasks, by job, since a task of any job last completed there
  */
 record MachineState(
     String address,
