--- a/src/main/java/org/baygw/control/standby/EmissionFence.java
+++ b/src/main/java/org/baygw/control/standby/EmissionFence.java
@@ -7,9 +7,10 @@
 /**
  * Withholds orders to workers between decision and sending if another controller may have replaced
  * this one meanwhile, because it stalled for so long that its membership lease may have expired.
- * Then a recent decision is still sent but a stale one is not, and after a stall nothing is sent
- * until the lease is known to be valid or the state service has had time to answer. Orders that
- * have left this process are fenced by the workers' tokens.
+ * While the lease may have expired, orders from recent decisions are still sent and those from
+ * stale decisions are not; after a stall nothing is sent until the lease is known to be valid or
+ * the state service has had time to answer. While roles are being released, nothing is sent either.
+ * Orders that have left this process are fenced by the workers' tokens.
  */
 final class EmissionFence {
   private final LongSupplier leaseValidUntil;
