--- a/src/main/java/org/baygw/control/standby/Handover.java
+++ b/src/main/java/org/baygw/control/standby/Handover.java
@@ -20,7 +20,7 @@
     ANNOUNCING,
     /** Waiting for the standbys to catch up. */
     FLUSHING,
-    /** Deleting the claims; no orders are issued meanwhile. */
+    /** Deleting the claims; orders are withheld for a limited time, see {@link #releasing}. */
     RELEASING,
     /** This controller holds no role. */
     RELEASED
@@ -56,9 +56,9 @@
   }
 
   /**
-   * Whether orders must be withheld, for no longer than a write takes: if the state service does
-   * not answer, this controller is still active as far as anyone can tell, and the leases of its
-   * workers must not expire.
+   * Whether orders must be withheld because the claims are being deleted. Limited to the time that
+   * a write should take: if the state service does not answer by then, this controller is still
+   * active as far as anyone can tell, and the leases of its workers must not expire.
    */
   boolean releasing() {
     return phase == Phase.RELEASING && clock.now() - releasingSince < Constants.HANDOVER_FLUSH_MS;
