--- a/src/main/java/org/baygw/control/standby/ReplicationStream.java
+++ b/src/main/java/org/baygw/control/standby/ReplicationStream.java
@@ -115,8 +115,8 @@
   /**
    * Processes an acknowledgement from the standby; one for another epoch is ignored.
    *
-   * @return whether the standby made progress but the update that it acknowledges did not contain
-   *     all decisions of that time
+   * @return whether the standby made progress but still lacks decisions that existed when the
+   *     latest update was built and did not fit into it
    */
   boolean acknowledge(RoleAck ack) {
     if (ack.epoch() != log.epoch()) {
