--- a/src/main/java/org/baygw/control/standby/Replicator.java
+++ b/src/main/java/org/baygw/control/standby/Replicator.java
@@ -157,7 +157,7 @@
 
   private void onAnswer(Link link, List<RoleUpdate.Release> releases, int status, byte[] body) {
     link.sending = false;
-    // A release is a hint that is sent once; the end of the claim in the state service decides.
+    // A release is a hint that is sent once: the role is free only once its claim is deleted.
     link.releases.removeAll(releases);
     ReplicationMessage.Answer answer = null;
     try {
@@ -215,7 +215,7 @@
       return new RoleAck(update.role(), entry.log.epoch(), RoleAck.NEEDS_SNAPSHOT, 0);
     }
     if (update instanceof RoleUpdate.Release) {
-      store.refresh(); // to see the end of the claim, which decides
+      store.refresh(); // to see the claim's deletion, without which the role cannot be claimed
     }
     return roles.replica(entry).receive(update, clock.now());
   }
