--- a/src/main/java/org/baygw/control/standby/RoleEntry.java
+++ b/src/main/java/org/baygw/control/standby/RoleEntry.java
@@ -2,7 +2,10 @@
 
 import org.baygw.control.model.Partition;
 
-/** One role at this controller: a replica while it is standby, a log and stream while active. */
+/**
+ * One role at this controller: a replica while the controller is its standby, a log and a stream
+ * while the controller is active for it.
+ */
 final class RoleEntry {
   final Role role;
 
@@ -11,7 +14,7 @@
 
   final Takeover takeover;
 
-  /** Null until an active controller has sent an update. */
+  /** Null until an active controller has sent an update, and while this controller is active. */
   Replica replica;
 
   /** Null unless this controller is active. */
