--- a/src/main/java/org/baygw/control/standby/RoleState.java
+++ b/src/main/java/org/baygw/control/standby/RoleState.java
@@ -8,8 +8,8 @@
 
 /**
  * The state that results from a role's decisions. Immutable, with persistent collections: a
- * snapshot is a reference that can be taken while the log grows. It is sent as the decisions that
- * rebuild it.
+ * snapshot is a reference that can be taken while the log grows. A snapshot is sent as the
+ * decisions that rebuild the state.
  *
  * @param machines the machines of a partition, by name
  * @param waitingSinceMs since when jobs have had tasks without capacity, by job
