--- a/src/main/java/org/baygw/control/standby/StandbyService.java
+++ b/src/main/java/org/baygw/control/standby/StandbyService.java
@@ -136,8 +136,8 @@
   /** Gives a handover access to logs and streams. */
   private final class HandoverRoles implements Handover.Roles {
     /**
-     * Releases to announce, by standby. Collected beforehand, since the entries drop their logs and
-     * streams once the claims are deleted.
+     * Releases to announce, by standby. Collected at each call of {@link #upToDate}, since the
+     * entries drop their logs and streams once the claims are deleted.
      */
     private final Map<String, List<RoleUpdate.Release>> releases = new HashMap<>();
 
