--- a/src/main/java/org/baygw/control/standby/Takeover.java
+++ b/src/main/java/org/baygw/control/standby/Takeover.java
@@ -7,15 +7,15 @@
 final class Takeover {
   /** The state of this controller for the role. */
   enum State {
-    /** Another controller is active, and a third one is its successor. */
+    /** This controller neither holds the role nor is the successor of the one that does. */
     UNINVOLVED,
     /** This controller is the successor and receives updates from the active controller. */
     FOLLOWING,
     /** This controller is the successor, and the active controller has been silent. */
     SUSPECTING,
     /**
-     * Nobody holds the role and this controller is claiming it, or its state cache has not reached
-     * its claim yet.
+     * Nobody holds the role and this controller is next to claim it, or its state cache has not
+     * reached its claim yet.
      */
     CONFIRMING,
     /** This controller has evidence that the former active one stopped, and issues the orders. */
@@ -33,7 +33,7 @@
    *     none
    * @param ownClaim whether the claim in the state cache is this controller's
    * @param successor whether this controller is next to take the role
-   * @param silentMs ms since the active controller was last heard from
+   * @param silentMs ms since the active controller was last heard from; 0 without a replica
    */
   record Observation(
       long ownedEpoch, long claimEpoch, boolean ownClaim, boolean successor, long silentMs) {}
@@ -105,7 +105,7 @@
       return "the state cache has not reached this controller's claim";
     } else if (!observation.successor()) {
       state = state == State.STEPPED_DOWN ? state : State.UNINVOLVED;
-      return "another controller is the successor";
+      return "this controller is not the successor";
     } else if (observation.claimEpoch() == 0) {
       state = State.CONFIRMING;
       return "nobody holds the claim";
