--- a/src/main/java/org/baygw/control/fleet/CloudInventory.java
+++ b/src/main/java/org/baygw/control/fleet/CloudInventory.java
@@ -15,7 +15,10 @@
 import org.baygw.control.store.Store;
 import org.baygw.control.store.Txn;
 
-/** Reads the cloud's machine types and its list of machines; the list lags behind. */
+/**
+ * Reads the cloud's machine types, which it stores in the state service, and the cloud's list of
+ * machines, which lags behind.
+ */
 final class CloudInventory {
   private final Clock clock;
   private final Store store;
@@ -56,7 +59,7 @@
     }
   }
 
-  /** Local time in ms at which the list was last read; 0 if not read yet. */
+  /** Monotonic time in ms at which the list was last read; 0 if not read yet. */
   long listedAt() {
     return listedAt;
   }
