--- a/src/main/java/org/baygw/control/fleet/RentalPlanner.java
+++ b/src/main/java/org/baygw/control/fleet/RentalPlanner.java
@@ -13,7 +13,7 @@
 import org.baygw.control.store.StateCache;
 
 /**
- * Plans rentals for tasks that could not be placed, minus the capacity of machines that are already
+ * Plans rentals for tasks that could not be placed and do not fit on machines that are already
  * rented or booting.
  */
 final class RentalPlanner {
@@ -50,7 +50,7 @@
 
   /**
    * Adds machines for the given number of tasks to {@code toRent}, as long as a suitable kind
-   * exists.
+   * exists and no request exceeds the cloud's limit.
    */
   private void addMachines(
       UnmetDemand demand,
@@ -105,9 +105,9 @@
   }
 
   /**
-   * Returns the allowed kind with the lowest price per CPU that the cloud has not just refused, or
-   * null if there is none. At equal prices the kind with fewer planned machines wins, which spreads
-   * rentals over the zones.
+   * Returns the allowed kind with the lowest price per CPU that the cloud has not recently refused,
+   * or null if there is none. At equal prices the kind with fewer planned machines wins, which
+   * spreads rentals over the zones.
    */
   private MachineKind chooseKind(UnmetDemand demand, Map<MachineKind, Integer> toRent) {
     JobSpec spec = demand.spec();
