--- a/src/main/java/org/baygw/control/fleet/Rentals.java
+++ b/src/main/java/org/baygw/control/fleet/Rentals.java
@@ -23,9 +23,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rentals in progress. A booking's name is stored durably before it is sent to the cloud, so that a
- * new leader repeats the request under the same name. The record is deleted once the booking's
- * machines are known.
+ * Rentals in progress. Each is requested from the cloud as a booking, under a unique name that is
+ * stored durably first, so that a new leader repeats the request under the same name. The record is
+ * deleted when the cloud has no capacity for the booking, or once its machines are listed by the
+ * cloud, have reported or are overdue.
  */
 final class Rentals {
   private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
