--- a/src/main/java/org/baygw/control/fleet/Returns.java
+++ b/src/main/java/org/baygw/control/fleet/Returns.java
@@ -179,14 +179,14 @@
         && !view.tasksOn(name).isEmpty();
   }
 
-  /** Whether the view includes every placement made before the partition's list last changed. */
+  /** Whether the state cache has every placement made before the partition's list last changed. */
   private boolean cacheIsCurrent(Partition partition) {
     return view.revision() >= view.stamp(Keys.drain(partition));
   }
 
   /**
    * Returns marked machines. Once the cloud has confirmed a return, the machine is durably recorded
-   * as gone, which proves that everything on it has ended.
+   * as gone, which proves that nothing runs on it any more.
    */
   void tick() {
     long now = clock.now();
