--- a/src/main/java/org/baygw/control/jobs/Jobs.java
+++ b/src/main/java/org/baygw/control/jobs/Jobs.java
@@ -25,8 +25,7 @@
 /**
  * The users' HTTP API, served by every controller. Accepting and cancelling a job are conditional
  * writes to the state service, answered after the write. Every other answer about a job comes from
- * the local copy of the state, which is first brought up to date unless the job is in a final state
- * there.
+ * the state cache, which is first brought up to date unless the job is in a final state there.
  */
 public final class Jobs {
   private static final Logger LOG = LoggerFactory.getLogger(Jobs.class);
@@ -160,8 +159,8 @@
   }
 
   /**
-   * Rejects a submission, after bringing the local copy of the state up to date: a submission with
-   * the id of an existing job is answered with that job's status instead.
+   * Rejects a submission, after bringing the state cache up to date: a submission with the id of an
+   * existing job is answered with that job's status instead.
    */
   private void refuse(long request, String id, int status, String reason) {
     store.whenCurrent(
