--- a/src/main/java/org/baygw/control/config/FeaturesReader.java
+++ b/src/main/java/org/baygw/control/config/FeaturesReader.java
@@ -9,9 +9,9 @@
 
 /**
  * Reads the file that selects optional subsystems. A field that is unknown, of the wrong type or
- * out of bounds is an error that names the field's path. Unlike in the platform's file, unknown
- * fields are errors: operators write this file, and a mistyped name must not silently result in a
- * default.
+ * out of bounds is an error that names the field's path. Unlike in the platform's settings file,
+ * unknown fields are errors: operators write this file, and a mistyped name must not silently
+ * result in a default.
  */
 public final class FeaturesReader {
   private static final String STANDBY = "standby";
@@ -64,6 +64,7 @@
       throws BadSettings {
     JsonNode value = node.path(field);
     if (value.isMissingNode()) {
+      // The lower bound may be the value of another field, above the default.
       return Math.max(min, defaultValue);
     }
     if (!value.isIntegralNumber() || value.asLong() < min || value.asLong() > max) {
