--- a/src/main/java/org/baygw/control/net/EventLoop.java
+++ b/src/main/java/org/baygw/control/net/EventLoop.java
@@ -116,7 +116,7 @@
 
   /**
    * Hands all roles over and stops the event loop; returns when that is done. If the handover takes
-   * too long, the roles' leases run out instead.
+   * too long, the roles become free only when the membership lease expires.
    */
   public void handOverAndStop() throws InterruptedException {
     CountDownLatch readyToStop = new CountDownLatch(1);
@@ -133,7 +133,8 @@
                 Constants.TICK_MS,
                 TimeUnit.MILLISECONDS);
     if (!readyToStop.await(Constants.HANDOVER_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
-      LOG.warn("roles were not handed over in time: their leases run out");
+      LOG.warn(
+          "roles were not handed over in time: they become free when the membership lease expires");
     }
     stopCheck.cancel(false);
     stop();
@@ -175,8 +176,8 @@
   }
 
   /**
-   * Runs an action and logs its exceptions: a fault in one input must not end the controller, since
-   * the next input finds durable state.
+   * Runs an action and logs its exceptions: a fault in one input must not stop the controller, and
+   * the next input can be handled because all state that must not be lost is durable.
    */
   private void safely(Runnable action) {
     try {
