--- a/src/main/java/org/baygw/control/net/SelfCheck.java
+++ b/src/main/java/org/baygw/control/net/SelfCheck.java
@@ -17,9 +17,9 @@
 import org.baygw.control.core.Json;
 
 /**
- * Starts a controller on loopback against a stub that accepts every request, submits, polls and
- * aborts one job, and stops. Shows that the program runs on this machine; the build also uses it to
- * record the classes that a start loads.
+ * Starts a controller on loopback against a stub of the state service and the cloud, submits, polls
+ * and aborts one job, and stops. Shows that the program runs on this machine; the build also uses
+ * it to record the classes that a start loads.
  */
 public final class SelfCheck {
   private static final int MAX_ATTEMPTS = 100;
