--- a/src/main/java/org/baygw/control/standby/Takeover.java
+++ b/src/main/java/org/baygw/control/standby/Takeover.java
@@ -7,7 +7,7 @@
 final class Takeover {
   /** The state of this controller for the role. */
   enum State {
-    /** This controller neither holds the role nor is the successor of the one that does. */
+    /** This controller neither holds the role nor is next to take it. */
     UNINVOLVED,
     /** This controller is the successor and receives updates from the active controller. */
     FOLLOWING,
