--- a/src/main/java/org/baygw/control/net/EventLoop.java
+++ b/src/main/java/org/baygw/control/net/EventLoop.java
@@ -116,26 +116,27 @@
 
   /**
    * Hands all roles over and stops the event loop; returns when that is done. If the handover takes
-   * too long, the roles' leases run out instead.
+   * too long, the roles become free only when the membership lease expires.
    */
   public void handOverAndStop() throws InterruptedException {
-    CountDownLatch ended = new CountDownLatch(1);
+    CountDownLatch readyToStop = new CountDownLatch(1);
     loop.next().execute(() -> safely(core::beginShutdown));
-    var endCheck =
+    var stopCheck =
         loop.next()
             .scheduleAtFixedRate(
                 () -> {
                   if (core.readyToStop()) {
-                    ended.countDown();
+                    readyToStop.countDown();
                   }
                 },
                 0,
                 Constants.TICK_MS,
                 TimeUnit.MILLISECONDS);
-    if (!ended.await(Constants.HANDOVER_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
-      LOG.warn("roles were not handed over in time: their leases run out");
+    if (!readyToStop.await(Constants.HANDOVER_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
+      LOG.warn(
+          "roles were not handed over in time: they become free when the membership lease expires");
     }
-    endCheck.cancel(false);
+    stopCheck.cancel(false);
     stop();
   }
 
@@ -175,8 +176,8 @@
   }
 
   /**
-   * Runs an action and logs its exceptions: a fault in one input must not end the controller, since
-   * the next input finds durable state.
+   * Runs an action and logs its exceptions: a fault in one input must not stop the controller, and
+   * the next input can be handled because all state that must not be lost is durable.
    */
   private void safely(Runnable action) {
     try {
--- a/src/main/java/org/baygw/control/standby/StandbyService.java
+++ b/src/main/java/org/baygw/control/standby/StandbyService.java
@@ -91,7 +91,7 @@
   }
 
   /** Whether the process can exit without other controllers having to wait for its lease. */
-  public boolean ended() {
+  public boolean shutdownComplete() {
     return handover.shutdownComplete();
   }
 
@@ -136,8 +136,8 @@
   /** Gives a handover access to logs and streams. */
   private final class HandoverRoles implements Handover.Roles {
     /**
-     * Releases to announce, by standby. Collected beforehand, since the entries drop their logs and
-     * streams once the claims are deleted.
+     * Releases to announce, by standby. Collected at each call of {@link #upToDate}, since the
+     * entries drop their logs and streams once the claims are deleted.
      */
     private final Map<String, List<RoleUpdate.Release>> releases = new HashMap<>();
 
@@ -235,8 +235,8 @@
   }
 
   @Override
-  public void capacityRefused(String type, String zone, boolean spot, long forMs) {
-    append(new Decision.CapacityRefused(type, zone, spot, clock.wall() + forMs));
+  public void capacityRefused(String type, String zone, boolean spot, long durationMs) {
+    append(new Decision.CapacityRefused(type, zone, spot, clock.wall() + durationMs));
   }
 
   private static RoaringBitmap bitmap(Collection<Integer> tasks) {
