--- a/src/main/java/org/baygw/control/workers/PartitionWriter.java
+++ b/src/main/java/org/baygw/control/workers/PartitionWriter.java
@@ -48,10 +48,10 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(PartitionWriter.class);
 
-  /** Writes of a move beside its own page: the job's progress and another partition's page. */
+  /** Writes of a move besides its own page: the job's progress and another partition's page. */
   private static final int MOVE_WRITES = 2;
 
-  /** Conditions of a placement beside those on pages and jobs: the list of leaving machines. */
+  /** Conditions of a placement besides changed pages and jobs: first page, draining machines. */
   private static final int OTHER_CONDITIONS = 2;
 
   final Partition partition;
@@ -61,12 +61,12 @@
   private final Store store;
   private final StateCache cache;
   private final TerminationEvidence evidence;
-  private final FirstFitPlacer placer;
+  private final BestFitPlacer placer;
   private final ConsolidationRound rounds;
   private final Context context;
   private final Set<String> dirty = new LinkedHashSet<>();
 
-  /** Tasks that a write in progress adds to machines or removes from them. */
+  /** Tasks that a write in flight adds to machines or removes from them. */
   private final Set<TaskId> tasksInWrite = new HashSet<>();
 
   private boolean queued;
@@ -80,7 +80,7 @@
    * them. Pages are copied only when needed, so that the cost of a write depends on what it
    * changes.
    */
-  private final class Draft implements FirstFitPlacer.RecordSpace {
+  private final class Draft implements BestFitPlacer.RecordSpace {
     final Txn txn = new Txn().when(Keys.claim(partition.toString()), claim);
     final int pages = cache.pages().count(partition);
     private final Map<Integer, PartitionRecord> copies = new HashMap<>();
@@ -237,7 +237,7 @@
       Store store,
       StateCache cache,
       TerminationEvidence evidence,
-      FirstFitPlacer placer,
+      BestFitPlacer placer,
       ConsolidationRound rounds,
       Context context) {
     this.partition = partition;
@@ -257,12 +257,12 @@
     dirty.add(machine);
   }
 
-  /** Whether a write in progress involves the task: launches and forgets wait for its outcome. */
+  /** Whether a write in flight involves the task: launches and forgets wait for its outcome. */
   boolean inWrite(TaskId task) {
     return tasksInWrite.contains(task);
   }
 
-  /** Starts a write if there are changes and no write is in progress. */
+  /** Starts a write if there are changes and no write is in flight. */
   void writeIfDue() {
     long now = clock.now();
     if (queued || writing) {
@@ -348,11 +348,11 @@
   }
 
   /**
-   * Prepares a write that splits pages in order, as many as it can hold and until their number has
-   * doubled; null if no split is needed. All changed pages are written together under the claim,
-   * with the number of pages on the first one, so that readers find each machine on the page that
-   * the number determines: before the write, after it, and if this controller fails at any time.
-   * The write contains nothing else. The number of pages has no upper bound.
+   * Prepares a write that splits pages in order, as many as fit into it and at most until their
+   * number has doubled; null if no split is needed. All changed pages are written together under
+   * the claim, with the number of pages on the first one, so that readers find each machine on the
+   * page that the number determines: before the write, after it, and if this controller crashes at
+   * any time. The write contains nothing else. The number of pages has no upper bound.
    */
   private Draft splitPages() {
     if (!splitNeeded()) {
@@ -581,7 +581,7 @@
             - draft.txn.conditionCount()
             - maxPagesPerWrite()
             - OTHER_CONDITIONS;
-    FirstFitPlacer.Plan plan = placer.plan(partition, claim, tasksInWrite, maxConditions, draft);
+    BestFitPlacer.Plan plan = placer.plan(partition, claim, tasksInWrite, maxConditions, draft);
     plan.returned()
         .forEach(
             (task, attempt) -> {
--- a/src/main/java/org/baygw/control/workers/Workers.java
+++ b/src/main/java/org/baygw/control/workers/Workers.java
@@ -33,7 +33,7 @@
 /**
  * Handles the workers of the partitions that this controller owns: processes their reports and
  * sends them orders. {@link TerminationEvidence} proves that tasks have ended, {@link
- * WorkerCommands} composes and sends orders, {@link FirstFitPlacer} and {@link ConsolidationRound}
+ * WorkerCommands} composes and sends orders, {@link BestFitPlacer} and {@link ConsolidationRound}
  * choose machines for tasks, and {@link PartitionWriter} writes a partition's durable record.
  */
 public final class Workers {
@@ -55,7 +55,7 @@
 
   private final ConsolidationRound rounds = new ConsolidationRound();
   private final TerminationEvidence evidence;
-  private final FirstFitPlacer placer;
+  private final BestFitPlacer placer;
   private final WorkerCommands commands;
   private final WorkerReachability reachability;
   private final CancellationDeadline deadline;
@@ -90,7 +90,7 @@
     this.deadline =
         new CancellationDeadline(
             clock, settings, cache, membership, evidence, cloud, watermark, this::ownedSession);
-    this.placer = new FirstFitPlacer(clock, settings, cache, sessions, rounds, replication);
+    this.placer = new BestFitPlacer(clock, settings, cache, sessions, rounds, replication);
     this.commands =
         new WorkerCommands(
             clock,
@@ -207,7 +207,7 @@
         nextCheck = now + Constants.MACHINE_CHECK_MS;
         boolean fullCheck = now >= nextFullCheck;
         nextFullCheck = fullCheck ? now + Constants.MACHINE_FULL_CHECK_MS : nextFullCheck;
-        sessions.values().removeIf(worker -> !worker.recordWriteInProgress && !owns(worker));
+        sessions.values().removeIf(worker -> !worker.recordWriteInFlight && !owns(worker));
         for (Partition partition : membership.partitions()) {
           if (membership.heldClaimStamp(partition) != 0) {
             List.copyOf(cache.machinesOf(partition)).forEach(m -> checkMachine(m, fullCheck));
@@ -343,8 +343,7 @@
   }
 
   /**
-   * Tasks granted to this controller's partitions that are on no machine and in no write in
-   * progress.
+   * Tasks granted to this controller's partitions that are on no machine and in no write in flight.
    */
   private Map<TaskId, Partition> pendingTasks() {
     Map<TaskId, Partition> found = new LinkedHashMap<>();
@@ -402,8 +401,9 @@
   }
 
   /**
-   * Copies the replicated state of the partition's former owner that is no proof about tasks: the
-   * worker's address and session, launch times, failures, and whether the machine is sick.
+   * Copies what the partition's former owner replicated about a worker: address, session, launch
+   * times, failures, and whether the machine is sick. None of it counts as proof that a task has
+   * ended.
    */
   private void inherit(WorkerSession worker) {
     StateCache.Entry<Machine> machine = cache.machines.get(worker.name);
@@ -489,7 +489,7 @@
       worker.pendingLaunches.clear(); // the worker refuses orders for an earlier session
       worker.killSentAt.clear();
       // A new session has its full lease from its start, even if none of its reports is answered:
-      // tasks launched directly in it live that long.
+      // tasks launched directly in it run that long.
       worker.lastAnswered = clock.now();
     }
     boolean confirmedBefore = worker.claimConfirmed();
@@ -521,12 +521,12 @@
   }
 
   /**
-   * Records a machine once its worker has reported this claim's token. A late copy of an old report
-   * cannot carry that token if its machine was returned, even by a controller that has crashed
-   * since.
+   * Records a machine once its worker has reported this claim's token. A report that is delivered
+   * late, after its machine was returned, cannot carry that token, even if the controller that
+   * returned the machine has crashed since.
    */
   private void register(WorkerSession worker, WorkerCodec.Report report) {
-    if (worker.recordWriteInProgress || !worker.claimConfirmed()) {
+    if (worker.recordWriteInFlight || !worker.claimConfirmed()) {
       return;
     }
     Partition partition = partitionOf(report);
@@ -541,7 +541,7 @@
             Map.of(),
             List.of(),
             partition);
-    worker.recordWriteInProgress = true;
+    worker.recordWriteInFlight = true;
     store.txnWithRetry(
         Store.Urgency.LAUNCH,
         new Txn()
@@ -549,7 +549,7 @@
             .when(Keys.claim(partition.toString()), worker.claim)
             .put(Keys.machine(machine.name()), Records.machine(machine)),
         Constants.STATE_TIMEOUT_MS,
-        ok -> worker.recordWriteInProgress = false);
+        ok -> worker.recordWriteInFlight = false);
   }
 
   /** Handles a report that a worker sent as the answer to a call of this controller. */
