--- a/src/main/java/org/baygw/control/Constants.java
+++ b/src/main/java/org/baygw/control/Constants.java
@@ -253,7 +253,9 @@
    */
   public static final long STATE_RETRY_MS = 250;
 
-  /** Extra shares of the state service's rate limits that the leader takes beside its own one. */
+  /**
+   * Extra shares of the state service's rate limits that the leader takes in addition to its own.
+   */
   public static final double LEADER_EXTRA_SHARES = 1;
 
   /**
--- a/src/main/java/org/baygw/control/core/Clock.java
+++ b/src/main/java/org/baygw/control/core/Clock.java
@@ -5,7 +5,7 @@
   private long nowMs;
   private long wallMs;
 
-  /** Steady time in milliseconds. */
+  /** Monotonic time in milliseconds. */
   public long now() {
     return nowMs;
   }
--- a/src/main/java/org/baygw/control/core/Replication.java
+++ b/src/main/java/org/baygw/control/core/Replication.java
@@ -29,7 +29,7 @@
       boolean sick) {}
 
   /**
-   * A machine type for which the cloud has no capacity.
+   * A kind of machine (type, zone, spot or not) for which the cloud has no capacity.
    *
    * @param remainingMs time for which it is not requested again
    */
@@ -80,8 +80,8 @@
   default void grantsEnded(String job, Collection<Integer> tasks) {}
 
   /**
-   * The cloud has no capacity for a machine type, which is not requested again for {@code
-   * durationMs}.
+   * The cloud has no capacity for a kind of machine (type, zone, spot or not), which is not
+   * requested again for {@code durationMs}.
    */
   default void capacityRefused(String type, String zone, boolean spot, long durationMs) {}
 
--- a/src/main/java/org/baygw/control/membership/Membership.java
+++ b/src/main/java/org/baygw/control/membership/Membership.java
@@ -46,7 +46,7 @@
   /** The zone of the latest leader that this controller has seen; empty before the first one. */
   private String leaderZone = "";
 
-  /** Steady time since which the state cache has had no leader; 0 while it has one. */
+  /** Monotonic time since which the state cache has had no leader; 0 while it has one. */
   private long leaderlessSince;
 
   private long nextClaimAt;
@@ -132,7 +132,9 @@
     return roles().stream().anyMatch(role -> heldClaimStamp(role) != 0);
   }
 
-  /** The steady time until which this controller's membership lease is guaranteed to be valid. */
+  /**
+   * The monotonic time until which this controller's membership lease is guaranteed to be valid.
+   */
   public long leaseValidUntil() {
     return lease.validUntil();
   }
@@ -191,7 +193,7 @@
    * Deletes this controller's claims, as many as fit into one conditional write, and reports the
    * outcome once it is certain.
    *
-   * @return false if another write of claims is in progress
+   * @return false if another write of claims is in flight
    */
   public boolean release(Consumer<Boolean> onOutcome) {
     if (claimWriteInFlight) {
--- a/src/main/java/org/baygw/control/membership/MembershipLease.java
+++ b/src/main/java/org/baygw/control/membership/MembershipLease.java
@@ -38,7 +38,7 @@
   /** The latest lease of this controller that is known to have ended. */
   private long endedLeaseId;
 
-  /** The steady time until which the current lease is guaranteed to be valid. */
+  /** The monotonic time until which the current lease is guaranteed to be valid. */
   private long validUntil = Long.MIN_VALUE;
 
   private long preparedValidUntil;
@@ -64,7 +64,7 @@
   }
 
   /**
-   * The steady time until which the lease is guaranteed to be valid, even if the state service
+   * The monotonic time until which the lease is guaranteed to be valid, even if the state service
    * stops answering; {@code Long.MIN_VALUE} if there is no lease.
    */
   long validUntil() {
@@ -191,7 +191,7 @@
   }
 
   /**
-   * The steady time until which a lease requested or renewed now is guaranteed to be valid,
+   * The monotonic time until which a lease requested or renewed now is guaranteed to be valid,
    * allowing for clock drift.
    */
   private long guaranteedUntil() {
--- a/src/main/java/org/baygw/control/membership/Peers.java
+++ b/src/main/java/org/baygw/control/membership/Peers.java
@@ -23,7 +23,7 @@
 public final class Peers {
   public static final String PATH = "/peer/status";
 
-  /** The latest status of a peer and the steady time of its receipt. */
+  /** The latest status of a peer and the monotonic time of its receipt. */
   private record ReceivedStatus(long receivedAtMs, long stateAgeMs, long revision) {}
 
   private final Clock clock;
--- a/src/main/java/org/baygw/control/model/Machine.java
+++ b/src/main/java/org/baygw/control/model/Machine.java
@@ -27,7 +27,7 @@
   /** Whether a machine accepts new tasks, and why not. */
   public enum Condition {
     OK,
-    /** The cloud has announced that it will reclaim this spot machine. */
+    /** The cloud has announced that it will reclaim this spot machine, or it is cordoned. */
     LEAVING,
     /** The worker neither reports nor answers. */
     SILENT,
